--- a/chivehealth/checker.go
+++ b/chivehealth/checker.go
@@ -17,64 +17,66 @@
 )
 
 const (
-	// checkTimeout bounds a health check: a host that has not answered in this time does not answer new connections either.
+	// checkTimeout bounds a health check. A host that has not answered within this time does not answer new connections
+	// either.
 	checkTimeout = 400 * time.Millisecond
-	// failureKept is how long a failure holds for all requests that break at the same endpoint.
-	failureKept = time.Second
-	// aliveKept is how long an answer holds: an endpoint may crash right after it, but its requests break within moments of each other.
-	aliveKept = 50 * time.Millisecond
+	// failureTTL is how long a failed check is reused for other requests that break at the same endpoint.
+	failureTTL = time.Second
+	// aliveTTL is how long any other result is reused. It is short since an endpoint may crash right after it answered,
+	// and long enough for the requests of one crash, which break in quick succession.
+	aliveTTL = 50 * time.Millisecond
 )
 
-// Endpoint is what is checked.
+// Endpoint is the target of a health check.
 type Endpoint struct {
 	ID string
-	// Incarnation names the process that is meant.
+	// Incarnation identifies the process that is expected at the address.
 	Incarnation string
 	Address     string
 }
 
-// Result is what a health check found.
+// Result is the outcome of a health check.
 type Result struct {
-	// Evidence is EvidenceNone for a process that answered, and for a check that shows nothing.
+	// Evidence is EvidenceNone if the process answered or the check was inconclusive.
 	Evidence Evidence
-	// Alive means that the process answered, TimedOut that nobody did.
+	// Alive means that the process answered, TimedOut that there was no answer within the time limit.
 	Alive    bool
 	TimedOut bool
 }
 
-// Check is one health check; its result may be read once Done is closed.
+// Check is a running or finished health check.
 type Check struct {
-	at     time.Time
-	done   chan struct{}
-	result Result
+	startedAt time.Time
+	done      chan struct{}
+	result    Result
 }
 
-// Began returns when the check began.
-func (c *Check) Began() time.Time { return c.at }
+// Began returns when the check was started.
+func (c *Check) Began() time.Time { return c.startedAt }
 
-// Done is closed when the check is over.
+// Done returns a channel that is closed when the check has finished.
 func (c *Check) Done() <-chan struct{} { return c.done }
 
-// Result returns what the check found; it waits for the end of the check.
+// Result waits for the check to finish and returns its outcome.
 func (c *Check) Result() Result {
 	<-c.done
 	return c.result
 }
 
-// holds reports whether the check serves requests that break now.
-func (c *Check) holds(now time.Time) bool {
+// isFresh reports whether the check is still running or recent enough to be used for a request that breaks now.
+func (c *Check) isFresh(now time.Time) bool {
 	select {
 	case <-c.done:
 	default:
 		return true
 	}
 	if c.result.Evidence != EvidenceNone {
-		return now.Sub(c.at) < failureKept
+		return now.Sub(c.startedAt) < failureTTL
 	}
-	return now.Sub(c.at) < aliveKept
+	return now.Sub(c.startedAt) < aliveTTL
 }
 
-// Checker sends health checks, one at a time to each endpoint.
+// Checker sends health checks, at most one at a time to each endpoint. Requests that break together share a check.
 type Checker struct {
 	self    string
 	network chivewire.Network
@@ -83,20 +85,20 @@
 	checks  map[string]*Check
 }
 
-// NewChecker returns a checker that calls endpoints from an address.
+// NewChecker returns a checker that connects to endpoints from the address self.
 func NewChecker(self string, network chivewire.Network, dialect chiverequest.HealthDialect) *Checker {
 	return &Checker{self: self, network: network, dialect: dialect, checks: make(map[string]*Check)}
 }
 
-// Start begins a check of an endpoint, or returns the one that runs or is recent.
+// Start starts a check of an endpoint, or returns the current one if that is running or recent.
 func (c *Checker) Start(e Endpoint) *Check {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if known, ok := c.checks[e.Incarnation]; ok && known.holds(now) {
-		return known
+	if existing, ok := c.checks[e.Incarnation]; ok && existing.isFresh(now) {
+		return existing
 	}
-	check := &Check{at: now, done: make(chan struct{})}
+	check := &Check{startedAt: now, done: make(chan struct{})}
 	c.checks[e.Incarnation] = check
 	go func() {
 		defer close(check.done)
@@ -105,32 +107,32 @@
 	return check
 }
 
-// Sweep forgets results that do not hold any more.
+// Sweep removes expired results.
 func (c *Checker) Sweep(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for incarnation, check := range c.checks {
-		if !check.holds(now) {
+		if !check.isFresh(now) {
 			delete(c.checks, incarnation)
 		}
 	}
 }
 
-// run carries out a check; it serves all requests at the endpoint, so that it does not depend on the caller of one.
+// run performs a check. It has a context of its own, since the result is shared by all requests at the endpoint.
 func (c *Checker) run(e Endpoint) Result {
 	ctx, cancel := context.WithTimeout(context.Background(), checkTimeout)
 	defer cancel()
 	conn, err := c.network.Dial(ctx, c.self, e.Address)
 	if err != nil {
-		return resultOf(ctx, err)
+		return classifyError(ctx, err)
 	}
 	defer conn.Close()
-	// In place of a deadline of the connection, which not every network has.
+	// Not every Network implementation supports connection deadlines.
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	response, err := c.ask(conn, e)
+	response, err := c.roundTrip(conn, e)
 	if err != nil {
-		return resultOf(ctx, err)
+		return classifyError(ctx, err)
 	}
 	defer response.Body.Close()
 	switch c.dialect.JudgeHealth(e.ID, e.Incarnation, response) {
@@ -143,19 +145,21 @@
 	return Result{Alive: true}
 }
 
-// ask sends the health check and reads the head of its answer. A http.Transport would hide how the connection failed.
-func (c *Checker) ask(conn net.Conn, e Endpoint) (*http.Response, error) {
+// roundTrip sends the health check and reads the response header. An http.Transport would hide how the connection
+// failed.
+func (c *Checker) roundTrip(conn net.Conn, e Endpoint) (*http.Response, error) {
 	header := make(http.Header)
 	method, target := c.dialect.HealthCheck(header, e.ID)
 	request := &http.Request{Method: method, URL: &url.URL{Scheme: "http", Host: e.Address, Opaque: target}, Host: e.Address, Header: header, Close: true}
 	if err := request.Write(conn); err != nil {
-		return nil, err //nolint:wrapcheck // classified by resultOf
+		return nil, err //nolint:wrapcheck // classified by classifyError
 	}
-	return http.ReadResponse(bufio.NewReader(conn), request) //nolint:wrapcheck // classified by resultOf
+	return http.ReadResponse(bufio.NewReader(conn), request) //nolint:wrapcheck // classified by classifyError
 }
 
-// resultOf classifies the failure of a check. Any other failure, such as a node without free descriptors, shows nothing of the endpoint.
-func resultOf(ctx context.Context, err error) Result {
+// classifyError classifies the error of a check. Errors that are not listed here, such as a lack of file descriptors on
+// this node, say nothing about the endpoint.
+func classifyError(ctx context.Context, err error) Result {
 	switch {
 	case ctx.Err() != nil:
 		return Result{TimedOut: true}
--- a/chivehealth/checker_test.go
+++ b/chivehealth/checker_test.go
@@ -15,11 +15,11 @@
 	"chivedrift/chivewire"
 )
 
-// dialect asks for /health.
+// dialect sends health checks to /health.
 type dialect struct{}
 
 func (dialect) HealthCheck(header http.Header, id string) (method, target string) {
-	header.Set("Meant", id)
+	header.Set("Endpoint-Id", id)
 	return http.MethodGet, "/health"
 }
 
@@ -33,7 +33,7 @@
 	return chiverequest.HealthAlive
 }
 
-// listen serves connections at a new address until the test ends, and returns it.
+// listen serves connections at a new address until the test ends, and returns the address.
 func listen(t *testing.T, serve func(conn *net.TCPConn)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", chivestand.FreeAddress())
@@ -53,8 +53,8 @@
 	return listener.Addr().String()
 }
 
-// answering reads the head of a request and answers.
-func answering(text string) func(conn *net.TCPConn) {
+// respond returns a handler that reads a request and responds with text.
+func respond(text string) func(conn *net.TCPConn) {
 	return func(conn *net.TCPConn) {
 		defer conn.Close()
 		if _, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
@@ -68,31 +68,31 @@
 	conn.Close()
 }
 
-// darkNetwork answers no connection.
-type darkNetwork struct{ chivewire.TCP }
+// unresponsiveNetwork never answers connection attempts.
+type unresponsiveNetwork struct{ chivewire.TCP }
 
-func (darkNetwork) Dial(ctx context.Context, _, _ string) (net.Conn, error) {
+func (unresponsiveNetwork) Dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-// Guards against crashes that are not found behind a proxy, and against crashes that are found where the process lives.
-func TestCheckTellsAFailedProcessFromALivingOne(t *testing.T) {
+// Guards against crashes behind a proxy that are not detected, and against false reports for a process that is alive.
+func TestCheckDistinguishesFailedFromLivingProcess(t *testing.T) {
 	const head = "HTTP/1.1 "
 	tests := map[string]struct {
 		serve func(conn *net.TCPConn)
 		want  chivehealth.Result
 	}{
-		"answers":             {answering(head + "200 OK\r\nContent-Length: 0\r\n\r\n"), chivehealth.Result{Alive: true}},
-		"has no health check": {answering(head + "404 Not Found\r\nContent-Length: 0\r\n\r\n"), chivehealth.Result{Alive: true}},
-		"answers nonsense":    {answering("\x00\x01\r\n\r\n"), chivehealth.Result{}},
-		"resets":              {reset, chivehealth.Result{Evidence: chivehealth.EvidenceReset}},
-		"closes at once":      {func(conn *net.TCPConn) { conn.Close() }, chivehealth.Result{Evidence: chivehealth.EvidenceReset}},
-		"closes after head":   {answering(""), chivehealth.Result{Evidence: chivehealth.EvidenceReset}},
-		"bad gateway":         {answering(head + "502 Bad Gateway\r\nContent-Length: 0\r\n\r\n"), chivehealth.Result{Evidence: chivehealth.EvidenceGateway}},
-		"no upstream":         {answering(head + "503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"), chivehealth.Result{Evidence: chivehealth.EvidenceGateway}},
-		"another process":     {answering(head + "421 Misdirected Request\r\nContent-Length: 0\r\n\r\n"), chivehealth.Result{Evidence: chivehealth.EvidenceReplaced}},
-		"silent":              {func(*net.TCPConn) {}, chivehealth.Result{TimedOut: true}},
+		"answers":              {respond(head + "200 OK\r\nContent-Length: 0\r\n\r\n"), chivehealth.Result{Alive: true}},
+		"has no health check":  {respond(head + "404 Not Found\r\nContent-Length: 0\r\n\r\n"), chivehealth.Result{Alive: true}},
+		"malformed response":   {respond("\x00\x01\r\n\r\n"), chivehealth.Result{}},
+		"resets":               {reset, chivehealth.Result{Evidence: chivehealth.EvidenceReset}},
+		"closes immediately":   {func(conn *net.TCPConn) { conn.Close() }, chivehealth.Result{Evidence: chivehealth.EvidenceReset}},
+		"closes after request": {respond(""), chivehealth.Result{Evidence: chivehealth.EvidenceReset}},
+		"bad gateway":          {respond(head + "502 Bad Gateway\r\nContent-Length: 0\r\n\r\n"), chivehealth.Result{Evidence: chivehealth.EvidenceGateway}},
+		"no upstream":          {respond(head + "503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"), chivehealth.Result{Evidence: chivehealth.EvidenceGateway}},
+		"another process":      {respond(head + "421 Misdirected Request\r\nContent-Length: 0\r\n\r\n"), chivehealth.Result{Evidence: chivehealth.EvidenceReplaced}},
+		"silent":               {func(*net.TCPConn) {}, chivehealth.Result{TimedOut: true}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -110,23 +110,23 @@
 			t.Errorf("got %+v", got)
 		}
 	})
-	t.Run("dark host", func(t *testing.T) {
-		checker := chivehealth.NewChecker("test", darkNetwork{}, dialect{})
+	t.Run("unresponsive host", func(t *testing.T) {
+		checker := chivehealth.NewChecker("test", unresponsiveNetwork{}, dialect{})
 		if got := checker.Start(chivehealth.Endpoint{Incarnation: "e", Address: "127.0.0.1:1"}).Result(); got != (chivehealth.Result{TimedOut: true}) {
 			t.Errorf("got %+v", got)
 		}
 	})
 }
 
-// Guards against an endpoint that crashes right after it answered a health check: the old answer must not hold.
-func TestAnswerDoesNotHoldForLong(t *testing.T) {
-	alive := make(chan struct{})
+// Guards against a missed crash right after an answered health check: the old result must not be reused.
+func TestAliveResultExpires(t *testing.T) {
+	crashed := make(chan struct{})
 	address := listen(t, func(conn *net.TCPConn) {
 		select {
-		case <-alive:
+		case <-crashed:
 			reset(conn)
 		default:
-			answering("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")(conn)
+			respond("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")(conn)
 		}
 	})
 	checker := chivehealth.NewChecker("test", chivewire.TCP{}, dialect{})
@@ -134,21 +134,21 @@
 	if got := checker.Start(endpoint).Result(); !got.Alive {
 		t.Fatalf("got %+v", got)
 	}
-	close(alive)
+	close(crashed)
 	time.Sleep(100 * time.Millisecond)
 	if got := checker.Start(endpoint).Result(); got.Evidence != chivehealth.EvidenceReset {
 		t.Errorf("got %+v", got)
 	}
 }
 
-// Guards against a herd of health checks: requests that break together share one.
-func TestRequestsThatBreakTogetherShareACheck(t *testing.T) {
+// Guards against a burst of health checks when many requests break at once: they share one check.
+func TestConcurrentlyBrokenRequestsShareOneCheck(t *testing.T) {
 	checker := chivehealth.NewChecker("test", chivewire.TCP{}, dialect{})
 	endpoint := chivehealth.Endpoint{Incarnation: "e", Address: listen(t, reset)}
 	first := checker.Start(endpoint)
 	for range 20 {
 		if checker.Start(endpoint) != first {
-			t.Fatal("a second check was begun")
+			t.Fatal("a second check was started")
 		}
 	}
 	if got := first.Result(); got.Evidence != chivehealth.EvidenceReset {
--- a/chivehealth/doc.go
+++ b/chivehealth/doc.go
@@ -1,5 +1,6 @@
-// Package chivehealth finds out whether the process of an endpoint failed, and holds the evidence for it.
+// Package chivehealth detects whether the process of an endpoint failed, and describes the evidence for it.
 //
-// A broken connection alone shows nothing: answers are cut short, idle connections are reset and paths fail while the endpoint serves others. So a
-// Checker sends the endpoint a health check on a new connection. What that finds, together with how the connection broke, is the evidence.
+// A broken connection alone is no evidence: responses are truncated, idle connections are reset and network paths fail
+// while the endpoint continues to serve other requests. A Checker therefore sends the endpoint a health check on a new
+// connection. Its result, together with how the original connection broke, is the evidence.
 package chivehealth
--- a/chivehealth/evidence.go
+++ b/chivehealth/evidence.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// Evidence is what shows that the process of an endpoint failed.
+// Evidence is the kind of observation that shows that the process of an endpoint failed.
 type Evidence uint8
 
 const (
-	// EvidenceNone shows nothing: the process answers, or may answer.
+	// EvidenceNone means that there is no evidence: the process answers, or may answer.
 	EvidenceNone Evidence = iota
-	// EvidenceRefused is a new connection that was refused.
+	// EvidenceRefused means that a new connection was refused.
 	EvidenceRefused
-	// EvidenceReset is a new connection that was reset or closed before an answer.
+	// EvidenceReset means that a new connection was reset or closed before an answer.
 	EvidenceReset
-	// EvidenceGateway is a proxy's answer that it does not reach the process.
+	// EvidenceGateway means that a proxy answered that it cannot reach the process.
 	EvidenceGateway
-	// EvidenceReplaced is another process in the endpoint's place.
+	// EvidenceReplaced means that another process answered at the endpoint's address.
 	EvidenceReplaced
-	// EvidenceUnreachable is silence on the open connections and on a new one.
+	// EvidenceUnreachable means that there was no answer on the open connections nor on a new one.
 	EvidenceUnreachable
-	// EvidenceStalled is silence on all running streams, while health checks are answered.
+	// EvidenceStalled means that all running streams stopped, while health checks are answered.
 	EvidenceStalled
 )
 
 var evidenceNames = [...]string{"none", "refused", "reset", "gateway", "replaced", "unreachable", "stalled"}
 
-// String returns the evidence's name in logs.
+// String returns the name used in logs.
 func (e Evidence) String() string {
 	if int(e) < len(evidenceNames) {
 		return evidenceNames[e]
@@ -32,14 +32,14 @@
 	return "unknown"
 }
 
-// IsSilent reports whether nothing breaks, so that other nodes may not notice the failure by themselves.
+// IsSilent reports whether the failure leaves connections open, so that other nodes may not detect it by themselves.
 func (e Evidence) IsSilent() bool { return e == EvidenceUnreachable || e == EvidenceStalled }
 
-// Failure is a node's finding that the process of an endpoint failed.
+// Failure is a detected failure of an endpoint's process.
 type Failure struct {
 	// Endpoint is the incarnation that failed.
 	Endpoint string
-	// Unique means that Endpoint names a single process, which crashes once and never answers after that.
+	// Unique means that Endpoint identifies a single process, which crashes at most once and never answers after that.
 	Unique        bool
 	FailureDomain string
 	Evidence      Evidence
