--- a/chiveevacuation/doc.go
+++ b/chiveevacuation/doc.go
@@ -1,5 +1,6 @@
-// Package chiveevacuation keeps which failure domains operators have evacuated: nothing more is sent to endpoints there until that is taken back.
+// Package chiveevacuation maintains the set of failure domains that operators have evacuated: no further requests are
+// sent to endpoints there until the evacuation is revoked.
 //
-// The operator's records stand in a topic of the platform's store, which in a large fleet only some nodes read. So nodes gossip what they know, each
-// with the position in the topic up to which it holds; the later position wins.
+// Operators record evacuations in a topic of the platform's store, which only some nodes of a large fleet read. Nodes
+// therefore gossip their state with the position in the topic that it includes; the state with the later position wins.
 package chiveevacuation
--- a/chiveevacuation/service.go
+++ b/chiveevacuation/service.go
@@ -18,82 +18,85 @@
 const ServiceName = "evacuation"
 
 const (
-	// repeatEvery is how often a node sends its state to the next of its peers: that repairs lost messages and brings nodes up to date that start.
-	repeatEvery = 500 * time.Millisecond
-	// repeatFor is how long it does so after the last evacuation was taken back.
-	repeatFor = 10 * time.Minute
-	inboxSize = 64
+	// resendInterval is how often a node sends its state to the next of its peers. That repairs lost messages and brings
+	// newly started nodes up to date.
+	resendInterval = 500 * time.Millisecond
+	// resendDuration is how long a node continues to do so after the last evacuation was revoked.
+	resendDuration = 10 * time.Minute
+	inboxSize      = 64
 )
 
-// Decoder reads one of the operator's records; ok is false for one that is about something else.
+// Decoder decodes a record of the operators' topic; ok is false if the record is not about an evacuation.
 type Decoder func(record chivelog.KeyedRecord) (r Record, ok bool)
 
-// Options are the parts the service is made of.
+// Options are the dependencies of the service.
 type Options struct {
 	Mesh   *chivewire.Mesh
 	Decode Decoder
 	Logger *slog.Logger
 }
 
-// Service keeps the state from the store's records and from peers.
+// Service maintains the set of evacuated failure domains, from the records in the store and from peers.
 type Service struct {
-	o         Options
-	inbox     *chivewire.Inbox
-	duties    chivekernel.Duties
-	listeners []func(domains []string)
+	options    Options
+	inbox      *chivewire.Inbox
+	goroutines chivekernel.Duties
+	listeners  []func(domains []string)
 
 	mu    sync.Mutex
 	state State
-	// changedAt is when the evacuated domains last changed here; zero while there have been none.
+	// changedAt is when the set of evacuated domains last changed on this node; zero if it never did.
 	changedAt time.Time
 	peers     []string
-	turn      int
+	peerIndex int
 }
 
-// New returns a service that knows of no evacuation.
+// New returns a service without any evacuations.
 func New(o Options) *Service {
-	s := &Service{o: o, inbox: chivewire.NewInbox(o.Mesh, inboxSize), state: newState()}
+	s := &Service{options: o, inbox: chivewire.NewInbox(o.Mesh, inboxSize), state: newState()}
 	chivewire.Queue[State](s.inbox, chivewire.KindEvacuations)
 	return s
 }
 
-// OnChange adds a function that is called with the evacuated failure domains when they change; it must not block. All are added before Start.
+// OnChange adds a callback that is called with the evacuated failure domains when they change. It must not block, and
+// must be added before Start.
 func (s *Service) OnChange(handle func(domains []string)) { s.listeners = append(s.listeners, handle) }
 
-// SetMembers takes a change of the fleet.
+// SetMembers sets the members of the fleet.
 func (s *Service) SetMembers(members []chivemember.Member) {
-	peers := chivemember.Partners(s.o.Mesh.Self(), chivemember.AddressesByHash(members))
+	peers := chivemember.Partners(s.options.Mesh.Self(), chivemember.AddressesByHash(members))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.peers = peers
 }
 
-// Replace takes a snapshot of the operator's topic: what is not evacuated in it is not any more.
+// Replace applies a snapshot of the operators' topic: evacuations that are not in the snapshot are revoked.
 func (s *Service) Replace(snapshot chivelog.KeyedBatch) {
-	fresh := newState().apply(s.decode(snapshot.Records))
-	fresh.Position = max(fresh.Position, snapshot.Next-1)
-	s.adopt(fresh, "store")
+	state := newState().apply(s.decode(snapshot.Records))
+	state.Position = max(state.Position, snapshot.Next-1)
+	s.adopt(state, "store")
 }
 
-// Apply takes later records of the operator's topic.
+// Apply applies further records of the operators' topic.
 func (s *Service) Apply(records []chivelog.KeyedRecord) {
 	s.mu.Lock()
-	next := s.state.apply(s.decode(records))
+	state := s.state.apply(s.decode(records))
 	s.mu.Unlock()
-	s.adopt(next, "store")
+	s.adopt(state, "store")
 }
 
 func (s *Service) decode(records []chivelog.KeyedRecord) []Record {
 	var decoded []Record
-	for _, each := range records {
-		if r, ok := s.o.Decode(each); ok {
+	for _, record := range records {
+		if r, ok := s.options.Decode(record); ok {
 			decoded = append(decoded, r)
 		}
 	}
 	return decoded
 }
 
-// adopt takes a state that holds up to a later position, and sends it to the peers where it says something else.
+// adopt replaces the state with one of a later position. If the evacuated domains differ, it calls the listeners and
+// sends the state to the peers.
 func (s *Service) adopt(state State, source string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,7 +109,7 @@
 		return
 	}
 	s.changedAt = time.Now()
-	chiveevent.DomainsEvacuated.Log(context.Background(), s.o.Logger, slog.Any("failure_domains", state.Domains), slog.String("source", source),
+	chiveevent.DomainsEvacuated.Log(context.Background(), s.options.Logger, slog.Any("failure_domains", state.Domains), slog.String("source", source),
 		slog.Int64("offset", state.Position.Offset()))
 	for _, handle := range s.listeners {
 		handle(state.Domains)
@@ -116,27 +119,27 @@
 	}
 }
 
-// Start begins to exchange states.
+// Start starts the exchange of states.
 func (s *Service) Start(ctx context.Context) error {
-	s.duties.Begin(ctx, s.run)
+	s.goroutines.Begin(ctx, s.run)
 	return nil
 }
 
-// Stop ends that.
+// Stop stops the exchange of states.
 func (s *Service) Stop(context.Context) error {
-	s.duties.End()
+	s.goroutines.End()
 	return nil
 }
 
 func (s *Service) run(ctx context.Context) {
-	tick := time.NewTicker(repeatEvery)
+	tick := time.NewTicker(resendInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-tick.C:
-			s.repeat(now)
+			s.resend(now)
 		case m := <-s.inbox.Ready():
 			if state, ok := m.Body.(State); ok {
 				s.receive(m.From, state)
@@ -145,19 +148,19 @@
 	}
 }
 
-// repeat sends the state to the next peer, while there is or was lately something to know.
-func (s *Service) repeat(now time.Time) {
+// resend sends the state to the next peer if any domain is evacuated or the set changed recently.
+func (s *Service) resend(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	isQuiet := len(s.state.Domains) == 0 && (s.changedAt.IsZero() || now.Sub(s.changedAt) >= repeatFor)
-	if isQuiet || len(s.peers) == 0 {
+	isIdle := len(s.state.Domains) == 0 && (s.changedAt.IsZero() || now.Sub(s.changedAt) >= resendDuration)
+	if isIdle || len(s.peers) == 0 {
 		return
 	}
-	s.turn++
-	s.send(s.peers[s.turn%len(s.peers)])
+	s.peerIndex++
+	s.send(s.peers[s.peerIndex%len(s.peers)])
 }
 
-// receive takes a peer's state, or sends it this node's where that is newer.
+// receive adopts a peer's state if that is newer; if it is older and differs, it replies with this node's state.
 func (s *Service) receive(from string, state State) {
 	s.adopt(state, from)
 	s.mu.Lock()
@@ -167,12 +170,12 @@
 	}
 }
 
-// send passes the state to the mesh; a lost message is repeated; the caller holds the lock.
+// send passes the state to the mesh; resend makes up for a lost message. The caller must hold s.mu.
 func (s *Service) send(to string) {
-	_ = s.o.Mesh.Send(to, chivewire.KindEvacuations, s.state)
+	_ = s.options.Mesh.Send(to, chivewire.KindEvacuations, s.state)
 }
 
-// Dump returns the state.
+// Dump returns the state for the state dump.
 func (s *Service) Dump() any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/chiveevacuation/service_test.go
+++ b/chiveevacuation/service_test.go
@@ -19,23 +19,24 @@
 	"chivedrift/chivewire"
 )
 
-// knownWithin is how long the fleet may take to know of an evacuation: well under the five seconds in which nothing more may be sent.
-const knownWithin = 3 * time.Second
+// propagationLimit is how long an evacuation may take to reach all nodes: well under the five seconds after which
+// nothing may be sent to the domain any more.
+const propagationLimit = 3 * time.Second
 
 func decode(record chivelog.KeyedRecord) (chiveevacuation.Record, bool) {
 	domain, ok := strings.CutPrefix(record.Key, "evacuate/")
 	return chiveevacuation.Record{Position: record.Position, Domain: domain, Evacuated: len(record.Value) > 0}, ok
 }
 
-// node is a node's service with what its listener was last called with.
+// node is the evacuation service of one node. Its listener stores the evacuated domains.
 type node struct {
 	*chiveevacuation.Service
 	mesh    *chivewire.Mesh
 	address string
-	known   []string
+	domains []string
 }
 
-// fleet is so many nodes that know each other.
+// fleet is a set of nodes on a simulated network.
 type fleet struct {
 	t       *testing.T
 	network *chivestand.Network
@@ -49,7 +50,7 @@
 		n := &node{address: fmt.Sprintf("10.%d.0.%d:1", i%3, i)}
 		n.mesh = chivewire.NewMesh(n.address, f.network)
 		n.Service = chiveevacuation.New(chiveevacuation.Options{Mesh: n.mesh, Decode: decode, Logger: slog.New(slog.DiscardHandler)})
-		n.OnChange(func(domains []string) { n.known = domains })
+		n.OnChange(func(domains []string) { n.domains = domains })
 		f.nodes = append(f.nodes, n)
 	}
 	f.setMembers(f.nodes)
@@ -78,101 +79,105 @@
 	}
 }
 
-func put(at int64, domain string) chivelog.KeyedRecord {
-	return chivelog.KeyedRecord{Position: chivelog.Position(at), Key: "evacuate/" + domain, Value: []byte("{}")}
+func evacuated(position int64, domain string) chivelog.KeyedRecord {
+	return chivelog.KeyedRecord{Position: chivelog.Position(position), Key: "evacuate/" + domain, Value: []byte("{}")}
 }
 
-func removed(at int64, domain string) chivelog.KeyedRecord {
-	return chivelog.KeyedRecord{Position: chivelog.Position(at), Key: "evacuate/" + domain}
+func removed(position int64, domain string) chivelog.KeyedRecord {
+	return chivelog.KeyedRecord{Position: chivelog.Position(position), Key: "evacuate/" + domain}
 }
 
-// awaitKnown waits until the listeners of all nodes were called with some domains.
-func (f *fleet) awaitKnown(domains ...string) {
+// awaitDomains waits until the listeners of all nodes have been called with the given domains.
+func (f *fleet) awaitDomains(domains ...string) {
 	f.t.Helper()
 	for began := time.Now(); ; time.Sleep(10 * time.Millisecond) {
 		missing := 0
 		for _, n := range f.nodes {
-			if !slices.Equal(n.known, domains) {
+			if !slices.Equal(n.domains, domains) {
 				missing++
 			}
 		}
 		if missing == 0 {
 			return
 		}
-		if time.Since(began) > knownWithin {
-			f.t.Fatalf("%d of %d nodes do not know of %v after %v", missing, len(f.nodes), domains, knownWithin)
+		if time.Since(began) > propagationLimit {
+			f.t.Fatalf("%d of %d nodes have not received the evacuated domains %v after %v", missing, len(f.nodes), domains, propagationLimit)
 		}
 	}
 }
 
-// Guards against nodes that do not read the store themselves and go on sending into an evacuated failure domain.
-func TestAllNodesKnowOfAnEvacuation(t *testing.T) {
+// Guards against nodes that do not read the store themselves and continue to send requests to an evacuated failure
+// domain.
+func TestEvacuationReachesAllNodes(t *testing.T) {
 	for _, size := range []int{1, 8, 62, 120} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(t, size)
-				f.nodes[0].Apply([]chivelog.KeyedRecord{put(5, "b"), put(6, "a"), {Position: 7, Key: "config", Value: []byte("{}")}})
-				f.awaitKnown("a", "b")
+				f.nodes[0].Apply([]chivelog.KeyedRecord{evacuated(5, "b"), evacuated(6, "a"), {Position: 7, Key: "config", Value: []byte("{}")}})
+				f.awaitDomains("a", "b")
 				f.nodes[size-1].Apply([]chivelog.KeyedRecord{removed(9, "b")})
-				f.awaitKnown("a")
+				f.awaitDomains("a")
 			})
 		})
 	}
 }
 
-// Guards against the same at nodes that were cut off, and against an evacuation that such nodes bring back.
-func TestNodesThatWereCutOffLearnOfEvacuations(t *testing.T) {
+// Guards against nodes that miss a change while they are partitioned, and against a revoked evacuation that such nodes
+// restore afterwards.
+func TestEvacuationReachesPartitionedNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 30)
-		inFirst := func(address string) bool { return strings.HasPrefix(address, "10.0.") }
-		cut := func(from, to string) bool { return inFirst(from) != inFirst(to) }
-		f.network.Block(cut)
-		f.nodes[1].Apply([]chivelog.KeyedRecord{put(5, "a")})
+		inFirstPartition := func(address string) bool { return strings.HasPrefix(address, "10.0.") }
+		isPartitioned := func(from, to string) bool { return inFirstPartition(from) != inFirstPartition(to) }
+		f.network.Block(isPartitioned)
+		f.nodes[1].Apply([]chivelog.KeyedRecord{evacuated(5, "a")})
 		time.Sleep(20 * time.Second)
 		f.network.Block(nil)
-		f.awaitKnown("a")
-		f.network.Block(cut)
+		f.awaitDomains("a")
+		f.network.Block(isPartitioned)
 		f.nodes[1].Apply([]chivelog.KeyedRecord{removed(8, "a")})
 		time.Sleep(20 * time.Second)
 		f.network.Block(nil)
-		f.awaitKnown()
+		f.awaitDomains()
 	})
 }
 
-// Guards against an evacuation that outlives its removal, which a snapshot does not name.
-func TestSnapshotTakesBackWhatItDoesNotName(t *testing.T) {
+// Guards against an evacuation that stays in force although its record was removed: a snapshot does not include
+// removals.
+func TestSnapshotRevokesEvacuationsNotIncluded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 8)
-		f.nodes[0].Apply([]chivelog.KeyedRecord{put(5, "a"), put(6, "b")})
-		f.awaitKnown("a", "b")
-		f.nodes[3].Replace(chivelog.KeyedBatch{Records: []chivelog.KeyedRecord{put(6, "b")}, Next: 12})
-		f.awaitKnown("b")
-		// What a slower reader reads later is older.
-		f.nodes[5].Apply([]chivelog.KeyedRecord{put(7, "a")})
-		time.Sleep(knownWithin)
-		f.awaitKnown("b")
+		f.nodes[0].Apply([]chivelog.KeyedRecord{evacuated(5, "a"), evacuated(6, "b")})
+		f.awaitDomains("a", "b")
+		f.nodes[3].Replace(chivelog.KeyedBatch{Records: []chivelog.KeyedRecord{evacuated(6, "b")}, Next: 12})
+		f.awaitDomains("b")
+		// A slower reader later applies a record that is older than the snapshot.
+		f.nodes[5].Apply([]chivelog.KeyedRecord{evacuated(7, "a")})
+		time.Sleep(propagationLimit)
+		f.awaitDomains("b")
 	})
 }
 
-// Guards against messages for ever: nodes that know the same fall silent some minutes after the last evacuation was taken back.
-func TestEvacuationsComeToRest(t *testing.T) {
+// Guards against messages that never stop: nodes with the same state must stop sending it a few minutes after the last
+// evacuation was revoked.
+func TestNoMessagesAfterConvergence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 8)
-		f.nodes[0].Apply([]chivelog.KeyedRecord{put(5, "a"), removed(6, "a"), put(7, "b"), removed(8, "b")})
-		f.nodes[0].Apply([]chivelog.KeyedRecord{put(9, "a")})
-		f.awaitKnown("a")
+		f.nodes[0].Apply([]chivelog.KeyedRecord{evacuated(5, "a"), removed(6, "a"), evacuated(7, "b"), removed(8, "b")})
+		f.nodes[0].Apply([]chivelog.KeyedRecord{evacuated(9, "a")})
+		f.awaitDomains("a")
 		f.nodes[0].Apply([]chivelog.KeyedRecord{removed(10, "a")})
-		f.awaitKnown()
+		f.awaitDomains()
 		time.Sleep(11 * time.Minute)
-		before := f.sent()
+		before := f.messagesSent()
 		time.Sleep(time.Minute)
-		if more := f.sent() - before; more > 0 {
-			t.Errorf("%d messages a minute of what all know", more)
+		if more := f.messagesSent() - before; more > 0 {
+			t.Errorf("%d messages a minute although all nodes have the same state", more)
 		}
 	})
 }
 
-func (f *fleet) sent() (messages int64) {
+func (f *fleet) messagesSent() (messages int64) {
 	for _, n := range f.nodes {
 		sent, _ := n.mesh.Traffic()
 		messages += sent["evacuations"].Messages
--- a/chiveevacuation/state.go
+++ b/chiveevacuation/state.go
@@ -7,30 +7,30 @@
 	"chivedrift/chivelog"
 )
 
-// noPosition stands for the position of a node that has read nothing yet.
+// noPosition is the position before the first record.
 const noPosition chivelog.Position = -1
 
-// Record is one of the operator's records, as far as it is about an evacuation.
+// Record is a decoded record of the operators' topic that evacuates a failure domain or revokes its evacuation.
 type Record struct {
 	Position  chivelog.Position
 	Domain    string
 	Evacuated bool
 }
 
-// State is which failure domains are evacuated, up to a position in the operator's topic.
+// State is the set of evacuated failure domains as of a position in the operators' topic.
 type State struct {
 	Position chivelog.Position
-	// Domains are in alphabetical order.
+	// Domains is sorted.
 	Domains []string
 }
 
-// newState returns the state before anything is known.
+// newState returns the state before the first record.
 func newState() State { return State{Position: noPosition} }
 
-// isOlderThan reports whether another state holds up to a later position.
+// isOlderThan reports whether the other state is as of a later position.
 func (s State) isOlderThan(other State) bool { return s.Position < other.Position }
 
-// apply returns the state after later records; what the state covers already changes nothing.
+// apply returns the state after the given records, and ignores those that the state already includes.
 func (s State) apply(records []Record) State {
 	evacuated := make(map[string]bool)
 	for _, d := range s.Domains {
