--- a/chiveforward/budget.go
+++ b/chiveforward/budget.go
@@ -9,24 +9,27 @@
 	"chivedrift/chiverequest"
 )
 
-// Budget bounds repeats to a share of a pool's requests plus this node's part of a fixed headroom, over a sliding window.
+// Budget limits retries to a ratio of a pool's requests plus this node's share of a fixed headroom, over a sliding
+// window.
 //
-// The bound is the fleet's, but no node knows what the others do at this moment. Each spends only what is safe alone: the
-// share of its own requests, and the headroom divided by the largest fleet that it has lately known of, so that the sum stays
-// under the bound also when nodes cannot hear each other and each takes the rest for dead. A process that has just started
-// does not know what the one before it spent, so it has no part of the headroom until a whole window has passed.
+// The limit applies to the whole fleet, but no node knows how many retries the others currently make. So each node uses
+// only what is safe without coordination: the ratio of its own requests, and the headroom divided by the largest recent
+// fleet size. The sum stays within the limit even if nodes are partitioned and each considers the others dead. A
+// process that has just started does not know how many retries its predecessor made, so it has no headroom until a full
+// window has passed.
 type Budget struct {
-	mu     sync.Mutex
-	limits BudgetLimits
-	origin time.Time
-	fleet  [2]int
-	turned time.Time
-	pools  map[string]*window
-	spent  atomic.Int64
-	denied atomic.Int64
+	mu         sync.Mutex
+	limits     BudgetLimits
+	startedAt  time.Time
+	fleetSizes [2]int
+	rotatedAt  time.Time
+	pools      map[string]*window
+	spent      atomic.Int64
+	denied     atomic.Int64
 }
 
-// BudgetLimits is the bound for the whole fleet: in any Window, repeats stay under Ratio times requests plus Headroom.
+// BudgetLimits is the limit for the whole fleet: in any Window, retries stay below Ratio times the requests plus
+// Headroom.
 type BudgetLimits struct {
 	Ratio    float64
 	Headroom float64
@@ -34,54 +37,58 @@
 }
 
 const (
-	// requestSteps is the number of steps that a window is counted in.
-	requestSteps = 20
-	// repeatSteps reach further back than the window: its edges fall inside steps, and a repeat must not be forgotten early.
-	repeatSteps = requestSteps + 2
-	budgetSteps = repeatSteps
-	// budgetMargin keeps a part of the headroom for nodes that are not known yet and for the grain of the steps.
-	budgetMargin = 0.8
-	// fleetMemory is the least time for which the largest fleet is remembered: longer than a partition usually lasts.
-	fleetMemory = 2 * time.Minute
+	// requestBuckets is the number of buckets in a window.
+	requestBuckets = 20
+	// retryBuckets covers more than the window. The edges of the window fall inside buckets, and a retry must not be
+	// dropped before a full window has passed.
+	retryBuckets = requestBuckets + 2
+	bucketCount  = retryBuckets
+	// headroomShare leaves part of the headroom unused, to allow for nodes that are not known yet and for the
+	// granularity of the buckets.
+	headroomShare = 0.8
+	// fleetSizeRetention is the minimum time for which the largest fleet size is kept; it is longer than most
+	// partitions.
+	fleetSizeRetention = 2 * time.Minute
 )
 
 type window struct {
-	requests [budgetSteps]int
-	repeats  [budgetSteps]int
-	step     int64
+	requests [bucketCount]int
+	retries  [bucketCount]int
+	bucket   int64
 }
 
-// NewBudget returns a budget of a process that starts now, in a fleet of one node.
+// NewBudget returns the budget of a process that starts now, in a fleet of one node.
 func NewBudget(now time.Time, limits BudgetLimits) *Budget {
-	return &Budget{limits: limits, origin: now, fleet: [2]int{1, 1}, turned: now, pools: make(map[string]*window)}
+	return &Budget{limits: limits, startedAt: now, fleetSizes: [2]int{1, 1}, rotatedAt: now, pools: make(map[string]*window)}
 }
 
-// SetNodes takes how many nodes are known to share the headroom.
+// SetNodes sets how many nodes are known to share the headroom.
 func (b *Budget) SetNodes(now time.Time, nodes int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.turn(now, nodes)
-	b.fleet[0] = max(b.fleet[0], nodes)
+	b.rotateFleetSizes(now, nodes)
+	b.fleetSizes[0] = max(b.fleetSizes[0], nodes)
 }
 
-// turn forgets what is older than two spans of memory; the count that is known now stays.
-func (b *Budget) turn(now time.Time, nodes int) {
-	if now.Sub(b.turned) < fleetMemory {
+// rotateFleetSizes discards the older of the two maxima once per fleetSizeRetention, and starts a new maximum from the
+// current number of nodes.
+func (b *Budget) rotateFleetSizes(now time.Time, nodes int) {
+	if now.Sub(b.rotatedAt) < fleetSizeRetention {
 		return
 	}
-	b.fleet = [2]int{max(nodes, 1), b.fleet[0]}
-	b.turned = now
+	b.fleetSizes = [2]int{max(nodes, 1), b.fleetSizes[0]}
+	b.rotatedAt = now
 }
 
-// Request counts a caller's request for a pool.
+// Request counts a caller's request to a pool.
 func (b *Budget) Request(now time.Time, request *chiverequest.Request) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w := b.at(now, request.Pool)
-	w.requests[w.step%budgetSteps]++
+	w := b.windowAt(now, request.Pool)
+	w.requests[w.bucket%bucketCount]++
 }
 
-// Spend takes one repeat and reports whether there was one left.
+// Spend charges one retry to the budget and reports whether it was allowed.
 func (b *Budget) Spend(now time.Time, request *chiverequest.Request) bool {
 	if !b.Lend(now, request.Pool) {
 		b.denied.Add(1)
@@ -90,68 +97,69 @@
 	return true
 }
 
-// Lend takes one repeat of a request to a pool, which another node may make, and reports whether there was one left.
+// Lend charges one retry of a request to a pool, which may be made by another node, and reports whether it was allowed.
 func (b *Budget) Lend(now time.Time, pool string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w := b.at(now, pool)
-	allowed := b.limits.Ratio*float64(w.sum(w.requests, requestSteps)) + b.headroom(now)
-	if float64(w.sum(w.repeats, repeatSteps)+1) > allowed {
+	w := b.windowAt(now, pool)
+	allowed := b.limits.Ratio*float64(w.sum(w.requests, requestBuckets)) + b.headroom(now)
+	if float64(w.sum(w.retries, retryBuckets)+1) > allowed {
 		return false
 	}
 	b.spent.Add(1)
-	w.repeats[w.step%budgetSteps]++
+	w.retries[w.bucket%bucketCount]++
 	return true
 }
 
-// Spent returns how many repeats were taken since the start.
+// Spent returns the number of retries that were charged since the start.
 func (b *Budget) Spent() int64 { return b.spent.Load() }
 
-// Denied returns how many repeats there was no budget for since the start.
+// Denied returns the number of retries that were denied since the start.
 func (b *Budget) Denied() int64 { return b.denied.Load() }
 
-// Explain returns what a pool's budget has spent and allows, and the fleet that its headroom is divided by.
+// Explain returns log attributes with the retries that a pool has made and is allowed, and the fleet size that divides
+// the headroom.
 func (b *Budget) Explain(now time.Time, request *chiverequest.Request) []slog.Attr {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w := b.at(now, request.Pool)
-	requests := w.sum(w.requests, requestSteps)
+	w := b.windowAt(now, request.Pool)
+	requests := w.sum(w.requests, requestBuckets)
 	return []slog.Attr{
-		slog.Int("repeats", w.sum(w.repeats, repeatSteps)), slog.Int("requests", requests),
-		slog.Float64("allowed", rounded(b.limits.Ratio*float64(requests)+b.headroom(now))), slog.Int("nodes", max(b.fleet[0], b.fleet[1])),
+		slog.Int("repeats", w.sum(w.retries, retryBuckets)), slog.Int("requests", requests),
+		slog.Float64("allowed", roundForLog(b.limits.Ratio*float64(requests)+b.headroom(now))), slog.Int("nodes", max(b.fleetSizes[0], b.fleetSizes[1])),
 	}
 }
 
-// headroom is this node's part.
+// headroom returns this node's share of the headroom.
 func (b *Budget) headroom(now time.Time) float64 {
-	if now.Sub(b.origin) < b.limits.Window {
+	if now.Sub(b.startedAt) < b.limits.Window {
 		return 0
 	}
-	return b.limits.Headroom * budgetMargin / float64(max(b.fleet[0], b.fleet[1]))
+	return b.limits.Headroom * headroomShare / float64(max(b.fleetSizes[0], b.fleetSizes[1]))
 }
 
-// at returns a pool's window moved on to now.
-func (b *Budget) at(now time.Time, pool string) *window {
-	step := int64(now.Sub(b.origin) / (b.limits.Window / requestSteps))
+// windowAt returns a pool's window, advanced to the current time.
+func (b *Budget) windowAt(now time.Time, pool string) *window {
+	bucket := int64(now.Sub(b.startedAt) / (b.limits.Window / requestBuckets))
 	w, ok := b.pools[pool]
 	if !ok {
-		w = &window{step: step}
+		w = &window{bucket: bucket}
 		b.pools[pool] = w
 	}
-	for steps := 0; w.step < step && steps < budgetSteps; steps++ {
-		w.step++
-		w.requests[w.step%budgetSteps] = 0
-		w.repeats[w.step%budgetSteps] = 0
+	for cleared := 0; w.bucket < bucket && cleared < bucketCount; cleared++ {
+		w.bucket++
+		w.requests[w.bucket%bucketCount] = 0
+		w.retries[w.bucket%bucketCount] = 0
 	}
-	w.step = max(w.step, step)
+	w.bucket = max(w.bucket, bucket)
 	return w
 }
 
-// sum adds up the newest steps.
-func (w *window) sum(counts [budgetSteps]int, steps int64) int {
+// sum adds up the newest buckets.
+func (w *window) sum(counts [bucketCount]int, buckets int64) int {
 	total := 0
-	for back := int64(0); back < steps && back <= w.step; back++ {
-		total += counts[(w.step-back)%budgetSteps]
+	for age := int64(0); age < buckets && age <= w.bucket; age++ {
+		total += counts[(w.bucket-age)%bucketCount]
 	}
 	return total
 }
--- a/chiveforward/call.go
+++ b/chiveforward/call.go
@@ -17,137 +17,145 @@
 )
 
 const (
-	// wholeBytes is the most of an answer that is held back until it is complete; what is larger is passed on as it comes.
-	wholeBytes = 1 << 20
-	// patienceShare is the part of the time left after which an idempotent request without an answer is tried elsewhere.
-	patienceShare = 0.4
-	// patienceTargets is the most patience, in targets of the route.
-	patienceTargets = 2
+	// maxBufferedBytes is the largest response body that is buffered until it is complete; larger ones are forwarded as
+	// they arrive.
+	maxBufferedBytes = 1 << 20
+	// silenceTimeoutShare is the share of the remaining time after which an idempotent request without a response is
+	// retried on another endpoint.
+	silenceTimeoutShare = 0.4
+	// silenceTimeoutTargets limits that timeout, as a multiple of the route's target latency.
+	silenceTimeoutTargets = 2
 )
 
-// ErrSilent is why an attempt was given up whose endpoint sent nothing for too long.
-var ErrSilent = errors.New("the endpoint sent nothing for too long")
+// ErrSilent is the error of an attempt whose endpoint sent nothing within the silence timeout.
+var ErrSilent = errors.New("endpoint sent no data within the silence timeout")
 
 var (
-	errForeign   = errors.New("the answer belongs to another request")
-	errCutEvent  = errors.New("the stream ended inside an event")
-	errPreempted = errors.New("the place was wanted back")
+	errMismatchedResponse = errors.New("response belongs to another request")
+	errTruncatedEvent     = errors.New("stream ended inside an event")
+	errPreempted          = errors.New("attempt preempted by a more urgent request")
 )
 
-// call is one attempt of a request on one endpoint.
-type call struct {
-	run        *run
-	place      Place
-	target     Target
-	connection *connection
-	began      time.Time
-	silence    *time.Timer
-	touched    bool
-	// answering means that an event of the answer has come.
-	answering atomic.Bool
-	// cancel ends the attempt for a reason; it may be called from other goroutines while the attempt is in flight.
+// attempt is one attempt of a request on one endpoint.
+type attempt struct {
+	state        *requestState
+	place        Place
+	target       Target
+	connection   *connection
+	startedAt    time.Time
+	silenceTimer *time.Timer
+	// mayHaveRun means that a byte of the request may have been sent and that the endpoint did not confirm that it was
+	// not run.
+	mayHaveRun bool
+	// streaming means that an event of the response has arrived.
+	streaming atomic.Bool
+	// cancel cancels the attempt with a cause. Other goroutines may call it while the attempt is in flight.
 	cancel context.CancelCauseFunc
-	// lastActivity is where the endpoint's activity is noted.
-	lastActivity *activity
-	// endpointWasAlive means that the endpoint had answered shortly before the attempt began, and nothing there had broken since.
+	// lastActivity is the endpoint's last activity, shared by all attempts there.
+	lastActivity *activityTime
+	// endpointWasAlive means that the endpoint had responded shortly before the attempt began and no attempt there had
+	// broken off since.
 	endpointWasAlive bool
-	// replaced means that the attempt was cancelled since another process has taken the endpoint's place.
-	replaced bool
-	status   int
-	err      error
-	whole    *whole
+	// endpointReplaced means that the attempt was cancelled because another process replaced the endpoint's.
+	endpointReplaced bool
+	status           int
+	err              error
+	buffered         *bufferedResponse
 }
 
-// whole is an answer that was read to its end.
-type whole struct {
+// bufferedResponse is a response that was read completely.
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// pass hands the answer to the caller.
-func (w *whole) pass(r *run) {
-	r.start(w.status, w.header)
-	// When this fails the caller is gone, and nobody is left to tell.
-	_ = r.sink.Write(w.body, false)
+// writeTo passes the response to the caller.
+func (b *bufferedResponse) writeTo(r *requestState) {
+	r.startResponse(b.status, b.header)
+	// A write error means that the caller has disconnected; there is nobody to report it to.
+	_ = r.sink.Write(b.body, false)
 }
 
-// carry makes the attempt and tells how it ended.
-func (c *call) carry(parent context.Context) ending {
+// execute makes the attempt and returns its outcome.
+func (a *attempt) execute(parent context.Context) attemptOutcome {
 	ctx, cancel := context.WithCancelCause(parent)
 	defer cancel(nil)
-	c.cancel = cancel
-	c.lastActivity = c.run.f.inFlight.begin(c)
-	defer c.run.f.inFlight.end(c)
-	if patience, limited := c.patience(parent); limited {
-		c.silence = time.AfterFunc(patience, func() { cancel(ErrSilent) })
-		defer c.silence.Stop()
-	}
-	if preempted := c.place.Preempted(); preempted != nil {
-		stop := watch(ctx, preempted, func() { cancel(errPreempted) })
+	a.cancel = cancel
+	a.lastActivity = a.state.forwarder.inFlight.add(a)
+	defer a.state.forwarder.inFlight.remove(a)
+	if timeout, limited := a.silenceTimeout(parent); limited {
+		a.silenceTimer = time.AfterFunc(timeout, func() { cancel(ErrSilent) })
+		defer a.silenceTimer.Stop()
+	}
+	if preempted := a.place.Preempted(); preempted != nil {
+		stop := callOnClose(ctx, preempted, func() { cancel(errPreempted) })
 		defer stop()
 	}
-	// Copies of a request that crashes engines may wait at several when that is known; those that have sent nothing yet are cancelled.
-	if !c.run.probe {
-		defer c.run.f.o.Quarantine.Watch(c.run.request, func() { c.quarantine(cancel) })()
+	// Copies of a request that crashes engines may be waiting at several of them when it is quarantined. Those that
+	// have not begun to stream are cancelled.
+	if !a.state.probe {
+		defer a.state.forwarder.options.Quarantine.Watch(a.state.request, func() { a.cancelForQuarantine(cancel) })()
 	}
-	response, err := c.send(ctx)
+	response, err := a.send(ctx)
 	if err != nil {
-		return c.broken(ctx, parent, err)
+		return a.classifyError(ctx, parent, err)
 	}
 	defer response.Body.Close()
-	c.status = response.StatusCode
-	switch c.run.f.o.Dialect.Judge(c.run.request, response) {
+	a.status = response.StatusCode
+	switch a.state.forwarder.options.Dialect.Judge(a.state.request, response) {
 	case chiverequest.VerdictNotRun:
-		c.touched = false
-		c.finish(response)
-		return endedRefused
+		a.mayHaveRun = false
+		a.drain(response)
+		return attemptRefused
 	case chiverequest.VerdictElsewhere:
-		c.connection.close()
-		return endedElsewhere
+		a.connection.close()
+		return attemptMisdirected
 	case chiverequest.VerdictForeign:
-		return c.broken(ctx, parent, errForeign)
+		return a.classifyError(ctx, parent, errMismatchedResponse)
 	case chiverequest.VerdictAnswer:
-		c.noteAnswer()
+		a.recordResponse()
 	}
 	if !isEventStream(response.Header) {
-		c.run.noteStarted()
+		a.state.reportStart()
 	}
 	if isEventStream(response.Header) && response.StatusCode == http.StatusOK {
-		return c.relay(ctx, parent, response)
+		return a.forwardStream(ctx, parent, response)
 	}
-	return c.readWhole(ctx, parent, response)
+	return a.forwardBuffered(ctx, parent, response)
 }
 
-// quarantine cancels the attempt, unless its engine has begun to answer.
-func (c *call) quarantine(cancel context.CancelCauseFunc) {
-	if !c.answering.Load() {
+// cancelForQuarantine cancels the attempt unless its response has begun to stream.
+func (a *attempt) cancelForQuarantine(cancel context.CancelCauseFunc) {
+	if !a.streaming.Load() {
 		cancel(errQuarantined)
 	}
 }
 
-// noteAnswer notes the head of the endpoint's own answer. A process that crashed before the request was sent would not have answered.
-func (c *call) noteAnswer() {
-	c.lastActivity.note(time.Now())
-	if c.target.Unique {
-		c.run.f.o.Quarantine.Alive(time.Now(), c.target.Incarnation, c.began)
+// recordResponse records that the endpoint responded itself. This refutes reports that its process crashed before the
+// request was sent.
+func (a *attempt) recordResponse() {
+	a.lastActivity.record(time.Now())
+	if a.target.Unique {
+		a.state.forwarder.options.Quarantine.Alive(time.Now(), a.target.Incarnation, a.startedAt)
 	}
 }
 
-// wasAccepted reports whether the endpoint had taken the request when the attempt broke.
-func (c *call) wasAccepted(brokeAt time.Time) bool {
-	return c.answering.Load() || brokeAt.Sub(c.began) >= acceptedAfter
+// wasAccepted reports whether the endpoint is taken to have accepted the request before the attempt broke off.
+func (a *attempt) wasAccepted(brokeAt time.Time) bool {
+	return a.streaming.Load() || brokeAt.Sub(a.startedAt) >= acceptedAfter
 }
 
-// watch calls heard when a channel closes before the context ends; stop waits until nothing is called any more.
-func watch(ctx context.Context, closed <-chan struct{}, heard func()) (stop func()) {
+// callOnClose calls onClose when the channel is closed before the context ends. After stop returns, onClose is no
+// longer running and will not be called.
+func callOnClose(ctx context.Context, closed <-chan struct{}, onClose func()) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		select {
 		case <-closed:
-			heard()
+			onClose()
 		case <-ctx.Done():
 		}
 	}()
@@ -157,224 +165,228 @@
 	}
 }
 
-// patience bounds the wait for an answer that another endpoint could still give in time. Where the operator says how long an
-// endpoint may be silent, that holds; else an idempotent request is tried elsewhere while its time still allows it.
-func (c *call) patience(ctx context.Context) (time.Duration, bool) {
-	if silence := c.run.request.Silence; silence > 0 {
-		return silence, true
-	}
-	route := c.run.request.Route
-	if route.Repeat != chivetable.RepeatAlways || c.run.sent+1 >= route.Attempts {
+// silenceTimeout returns how long the attempt waits for data from the endpoint. A timeout set by the operator takes
+// precedence. Otherwise an idempotent request with attempts left is cancelled early enough for another endpoint to
+// answer it in time; other requests have no such timeout.
+func (a *attempt) silenceTimeout(ctx context.Context) (time.Duration, bool) {
+	if timeout := a.state.request.Silence; timeout > 0 {
+		return timeout, true
+	}
+	route := a.state.request.Route
+	if route.Repeat != chivetable.RepeatAlways || a.state.attemptsUsed+1 >= route.Attempts {
 		return 0, false
 	}
 	deadline, _ := ctx.Deadline()
-	return min(time.Duration(patienceShare*float64(time.Until(deadline))), patienceTargets*route.Target), true
+	return min(time.Duration(silenceTimeoutShare*float64(time.Until(deadline))), silenceTimeoutTargets*route.Target), true
 }
 
-// heard notes that the endpoint sent something.
-func (c *call) heard() {
-	c.lastActivity.note(time.Now())
-	if silence := c.run.request.Silence; silence > 0 {
-		c.silence.Reset(silence)
+// recordActivity records that the endpoint sent data, and restarts a silence timeout that the operator set.
+func (a *attempt) recordActivity() {
+	a.lastActivity.record(time.Now())
+	if timeout := a.state.request.Silence; timeout > 0 {
+		a.silenceTimer.Reset(timeout)
 	}
 }
 
-// send writes the request on a connection of its own for as long as the attempt takes.
-func (c *call) send(ctx context.Context) (*http.Response, error) {
-	fresh := len(c.run.result.Tries) > 0 || (c.run.f.o.Rules.FreshOnce && c.run.request.Route.Repeat == chivetable.RepeatNever)
-	c.connection = c.run.f.connections.get(c.target.Incarnation, fresh)
-	request, err := c.build(ctx)
+// send writes the request on a connection that no other attempt uses at the same time, and returns the response head.
+func (a *attempt) send(ctx context.Context) (*http.Response, error) {
+	forceNew := len(a.state.result.Tries) > 0 || (a.state.forwarder.options.Rules.FreshOnce && a.state.request.Route.Repeat == chivetable.RepeatNever)
+	a.connection = a.state.forwarder.connections.get(a.target.Incarnation, forceNew)
+	request, err := a.buildRequest(ctx)
 	if err != nil {
 		return nil, err
 	}
-	response, err := c.connection.transport.RoundTrip(request)
-	c.touched = c.connection.touched()
+	response, err := a.connection.transport.RoundTrip(request)
+	a.mayHaveRun = a.connection.mayHaveSent()
 	if err != nil {
-		c.connection.close()
-		return nil, err //nolint:wrapcheck // logged as it is
+		a.connection.close()
+		return nil, err //nolint:wrapcheck // logged without a prefix
 	}
 	return response, nil
 }
 
-func (c *call) build(ctx context.Context) (*http.Request, error) {
-	r := c.run.request
+func (a *attempt) buildRequest(ctx context.Context) (*http.Request, error) {
+	r := a.state.request
 	header := r.Header.Clone()
 	if header == nil {
 		header = make(http.Header)
 	}
-	content, err := c.run.f.o.Dialect.Prepare(header, chiverequest.Send{Request: r, Endpoint: c.target.ID, Left: c.run.left(), After: c.run.last, FetchFrom: c.place.FetchFrom()})
+	content, err := a.state.forwarder.options.Dialect.Prepare(header, chiverequest.Send{Request: r, Endpoint: a.target.ID, Left: a.state.remainingTime(), After: a.state.lastEventID, FetchFrom: a.place.FetchFrom()})
 	if err != nil {
-		return nil, fmt.Errorf("request: %w", err)
+		return nil, fmt.Errorf("prepare request: %w", err)
 	}
 	var body io.Reader
 	if len(content) > 0 {
 		body = bytes.NewReader(content)
 	}
-	request, err := http.NewRequestWithContext(ctx, r.Method, "http://"+c.target.Address, body)
+	request, err := http.NewRequestWithContext(ctx, r.Method, "http://"+a.target.Address, body)
 	if err != nil {
-		return nil, fmt.Errorf("request: %w", err)
+		return nil, fmt.Errorf("build request: %w", err)
 	}
-	// Without this net/http would send the body again on its own where it takes the request for harmless.
+	// Without GetBody, net/http cannot resend the body by itself when it considers the request repeatable.
 	request.GetBody = nil
-	// The target goes out as it came in: decoding and encoding it again may change what the endpoint sees.
-	request.URL = &url.URL{Scheme: "http", Host: c.target.Address, Opaque: r.Target}
+	// The request target is sent byte for byte as it was received: decoding and re-encoding it could change what the
+	// endpoint sees.
+	request.URL = &url.URL{Scheme: "http", Host: a.target.Address, Opaque: r.Target}
 	request.Host = r.Host
 	request.Header = header
-	if _, given := header["User-Agent"]; !given {
+	if _, present := header["User-Agent"]; !present {
 		header["User-Agent"] = nil
 	}
 	return request, nil
 }
 
-// broken tells the reasons for a broken attempt apart.
-func (c *call) broken(ctx, parent context.Context, err error) ending {
-	c.err = err
-	if c.connection != nil {
-		c.connection.close()
+// classifyError determines the outcome of a failed attempt from its error and cancellation cause.
+func (a *attempt) classifyError(ctx, parent context.Context, err error) attemptOutcome {
+	a.err = err
+	if a.connection != nil {
+		a.connection.close()
 	}
 	cause := context.Cause(ctx)
 	switch {
 	case parent.Err() != nil:
-		return endedCaller
+		return attemptCancelled
 	case errors.Is(cause, errPreempted):
-		return endedPreempted
+		return attemptPreempted
 	case errors.Is(cause, errQuarantined):
-		return endedQuarantined
+		return attemptQuarantined
 	case errors.Is(cause, errReplaced):
-		c.err, c.replaced = errReplaced, true
+		a.err, a.endpointReplaced = errReplaced, true
 	case errors.Is(cause, ErrSilent):
-		c.err = ErrSilent
+		a.err = ErrSilent
 	}
-	if !c.touched {
-		return endedUnreached
+	if !a.mayHaveRun {
+		return attemptUnreached
 	}
-	return endedBroken
+	return attemptBroken
 }
 
-// finish reads the rest of a short answer, so that its connection can be used again.
-func (c *call) finish(response *http.Response) {
-	if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, wholeBytes)); err != nil {
-		c.connection.close()
+// drain reads the rest of a short response, so that the connection can be reused.
+func (a *attempt) drain(response *http.Response) {
+	if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxBufferedBytes)); err != nil {
+		a.connection.close()
 		return
 	}
-	c.keep(response)
+	a.returnConnection(response)
 }
 
-// keep keeps the connection for another request, unless the endpoint is about to close it.
-func (c *call) keep(response *http.Response) {
+// returnConnection returns the connection to the pool, unless the endpoint is about to close it.
+func (a *attempt) returnConnection(response *http.Response) {
 	if response.Close {
-		c.connection.close()
+		a.connection.close()
 		return
 	}
-	c.run.f.connections.put(c.target.Incarnation, c.connection, response.Header)
+	a.state.forwarder.connections.put(a.target.Incarnation, a.connection, response.Header)
 }
 
-// readWhole passes on an answer that is not a stream once it is complete, so that one that breaks can still be had elsewhere.
-func (c *call) readWhole(ctx, parent context.Context, response *http.Response) ending {
-	body, err := io.ReadAll(io.LimitReader(response.Body, wholeBytes+1))
+// forwardBuffered forwards a response that is not a stream once it is complete. Until then, a response that breaks off
+// can still be requested from another endpoint.
+func (a *attempt) forwardBuffered(ctx, parent context.Context, response *http.Response) attemptOutcome {
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedBytes+1))
 	if err != nil {
-		return c.broken(ctx, parent, err)
+		return a.classifyError(ctx, parent, err)
 	}
-	if len(body) > wholeBytes {
-		return c.passLarge(ctx, parent, response, body)
+	if len(body) > maxBufferedBytes {
+		return a.forwardLarge(ctx, parent, response, body)
 	}
-	c.keep(response)
-	c.whole = &whole{status: response.StatusCode, header: response.Header, body: body}
+	a.returnConnection(response)
+	a.buffered = &bufferedResponse{status: response.StatusCode, header: response.Header, body: body}
 	if response.StatusCode >= http.StatusInternalServerError {
-		return endedError
+		return attemptEndpointError
 	}
-	c.whole.pass(c.run)
-	return endedComplete
+	a.buffered.writeTo(a.state)
+	return attemptCompleted
 }
 
-func (c *call) passLarge(ctx, parent context.Context, response *http.Response, head []byte) ending {
-	c.run.start(response.StatusCode, response.Header)
-	if err := c.run.sink.Write(head, false); err != nil {
-		return c.callerFailed(err)
+func (a *attempt) forwardLarge(ctx, parent context.Context, response *http.Response, head []byte) attemptOutcome {
+	a.state.startResponse(response.StatusCode, response.Header)
+	if err := a.state.sink.Write(head, false); err != nil {
+		return a.sinkFailed(err)
 	}
-	buffer := make([]byte, connectionBuffer)
+	buffer := make([]byte, connectionBufferSize)
 	for {
 		n, err := response.Body.Read(buffer)
 		if n > 0 {
-			c.heard()
-			if writeErr := c.run.sink.Write(buffer[:n], false); writeErr != nil {
-				return c.callerFailed(writeErr)
+			a.recordActivity()
+			if writeErr := a.state.sink.Write(buffer[:n], false); writeErr != nil {
+				return a.sinkFailed(writeErr)
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			c.keep(response)
-			return endedComplete
+			a.returnConnection(response)
+			return attemptCompleted
 		}
 		if err != nil {
-			return c.broken(ctx, parent, err)
+			return a.classifyError(ctx, parent, err)
 		}
 	}
 }
 
-// relay passes on complete events only: of an event that was cut the caller sees nothing, so that a stream that goes on
-// elsewhere repeats no event and drops none.
-func (c *call) relay(ctx, parent context.Context, response *http.Response) ending {
-	stream := c.run.request.Stream
+// forwardStream forwards complete events only. Of an event that was cut off the caller sees nothing, so a stream that
+// is resumed on another endpoint neither repeats nor loses one.
+func (a *attempt) forwardStream(ctx, parent context.Context, response *http.Response) attemptOutcome {
+	stream := a.state.request.Stream
 	if stream == nil {
-		stream = &idStream{run: c.run, response: response, from: c.run.last}
+		stream = &idStream{state: a.state, response: response, resumedAfter: a.state.lastEventID}
 	}
 	events := newEventReader(response.Body)
 	for {
-		// Only the wait for the endpoint counts: a caller that reads slowly holds up the loop, and must not make the engine look slow.
-		asked := time.Now()
-		e, rest, err := events.next()
+		// Only the time spent waiting for the endpoint counts. A caller that reads slowly blocks this loop and must not
+		// make the engine look slow.
+		waitStart := time.Now()
+		e, partial, err := events.next()
 		if err != nil {
-			return c.streamEnd(ctx, parent, response, stream, rest, err)
+			return a.finishStream(ctx, parent, response, stream, partial, err)
 		}
-		c.heard()
-		c.answering.Store(true)
-		c.run.noteStarted()
+		a.recordActivity()
+		a.streaming.Store(true)
+		a.state.reportStart()
 		now := time.Now()
-		c.place.Event(now, now.Sub(asked))
-		c.run.noteEvent(now.Sub(asked))
-		ended, err := stream.Event(e.data, e.id, events.more())
+		a.place.Event(now, now.Sub(waitStart))
+		a.state.recordEvent(now.Sub(waitStart))
+		done, err := stream.Event(e.data, e.id, events.hasBuffered())
 		if err != nil {
-			return c.callerFailed(err)
+			return a.sinkFailed(err)
 		}
-		if ended {
-			c.finish(response)
-			return endedComplete
+		if done {
+			a.drain(response)
+			return attemptCompleted
 		}
 	}
 }
 
-// callerFailed is the end of an attempt whose answer could not be passed on.
-func (c *call) callerFailed(err error) ending {
-	c.err = err
-	c.connection.close()
-	return endedCaller
+// sinkFailed ends an attempt whose response could not be passed to the caller.
+func (a *attempt) sinkFailed(err error) attemptOutcome {
+	a.err = err
+	a.connection.close()
+	return attemptCancelled
 }
 
-// streamEnd tells a stream that is over from one that broke. A stream without a length whose connection just ends inside
-// an event was cut, though nothing on the connection says so.
-func (c *call) streamEnd(ctx, parent context.Context, response *http.Response, stream chiverequest.Stream, rest []byte, err error) ending {
+// finishStream determines whether a stream was complete when it ended. If the response has neither a length nor chunked
+// encoding, a connection that closes inside an event is the only sign that the stream was truncated.
+func (a *attempt) finishStream(ctx, parent context.Context, response *http.Response, stream chiverequest.Stream, partial []byte, err error) attemptOutcome {
 	if stream.Whole() {
-		c.connection.close()
-		return endedComplete
+		a.connection.close()
+		return attemptCompleted
 	}
-	if !errors.Is(err, io.EOF) || c.run.request.Stream != nil {
-		return c.broken(ctx, parent, err)
+	if !errors.Is(err, io.EOF) || a.state.request.Stream != nil {
+		return a.classifyError(ctx, parent, err)
 	}
-	if len(rest) > 0 {
-		if !isChunked(response) {
-			return c.broken(ctx, parent, errCutEvent)
+	if len(partial) > 0 {
+		if !hasExplicitLength(response) {
+			return a.classifyError(ctx, parent, errTruncatedEvent)
 		}
-		c.run.start(response.StatusCode, response.Header)
-		if err := c.run.sink.Write(rest, true); err != nil {
-			return c.callerFailed(err)
+		a.state.startResponse(response.StatusCode, response.Header)
+		if err := a.state.sink.Write(partial, true); err != nil {
+			return a.sinkFailed(err)
 		}
 	}
-	c.run.start(response.StatusCode, response.Header)
-	c.keep(response)
-	return endedComplete
+	a.state.startResponse(response.StatusCode, response.Header)
+	a.returnConnection(response)
+	return attemptCompleted
 }
 
-func isChunked(response *http.Response) bool {
+func hasExplicitLength(response *http.Response) bool {
 	return len(response.TransferEncoding) > 0 || response.ContentLength >= 0
 }
 
--- a/chiveforward/connection.go
+++ b/chiveforward/connection.go
@@ -15,68 +15,69 @@
 )
 
 var (
-	// errDialledTwice ends an attempt that net/http would repeat on a second connection.
-	errDialledTwice = errors.New("the connection had been closed while it was idle")
-	// errSealed stops a write that would come after the request was judged not to have been sent.
-	errSealed = errors.New("the attempt was given up before its first byte")
-	errClosed = errors.New("the connection is closed")
+	// errSecondDial ends an attempt that net/http would otherwise retry on a second connection.
+	errSecondDial = errors.New("endpoint closed the idle connection; a second dial is not allowed")
+	// errWriteBlocked rejects a write after the request was declared unsent.
+	errWriteBlocked = errors.New("attempt was cancelled before its first byte was written")
+	errClosed       = errors.New("connection is closed")
 )
 
 const (
-	// connectionDial bounds the connection to an endpoint: one that does not take a connection in this time is dead or cut off,
-	// and another one should get the request while its target can still be met.
-	connectionDial = 400 * time.Millisecond
-	// connectionIdle is how long a connection is kept for which the endpoint names no time.
-	connectionIdle = 3 * time.Second
-	// connectionMargin is the part of the endpoint's own idle time that a connection is used for: one that is closed by the
-	// endpoint just as a request is sent leaves in the dark whether the request ran.
-	connectionMargin = 0.6
-	// connectionsPerEndpoint bounds the idle connections kept to one endpoint.
-	connectionsPerEndpoint = 32
-	connectionBuffer       = 4 << 10
-	sweepEvery             = time.Second
+	// dialTimeout limits connecting to an endpoint. One that does not accept within this time is down or unreachable,
+	// and another one should get the request while its target latency can still be met.
+	dialTimeout = 400 * time.Millisecond
+	// defaultIdleTimeout is how long an idle connection is kept if the endpoint announces no timeout.
+	defaultIdleTimeout = 3 * time.Second
+	// idleTimeoutShare is the share of the endpoint's idle timeout for which a connection is reused. If the endpoint
+	// closes a connection just as a request is sent, it is unknown whether the request ran.
+	idleTimeoutShare = 0.6
+	// maxIdlePerEndpoint limits the idle connections kept to one endpoint.
+	maxIdlePerEndpoint   = 32
+	connectionBufferSize = 4 << 10
+	sweepInterval        = time.Second
 )
 
-// A connection leads to one endpoint, with a transport of its own that never dials twice.
+// A connection is a connection to one endpoint, with its own transport, which dials only once.
 //
-// net/http repeats a request by itself when a reused connection dies before the answer and the request looks harmless: a
-// GET, or one with an Idempotency-Key header. The endpoint may have run the first copy; one would notice a second run of a
-// request that may run once, or repeats that no budget counted. With a second dial refused there is nothing to repeat on.
-// The count of written bytes proves that a request did not arrive when its connection broke before the first of them.
+// net/http retries a request by itself if a reused connection fails before the response and the request looks
+// idempotent: a GET, or one with an Idempotency-Key header. The endpoint may have run the first copy, so a request that
+// must not run twice could run twice, and retries would bypass the budget. Refusing the second dial prevents these
+// retries. If the connection fails before the first byte was written, the write state proves that the request was not
+// sent.
 type connection struct {
 	transport *http.Transport
 	network   chivewire.Network
 	self      string
 
-	dialled atomic.Bool
-	closed  atomic.Bool
-	state   atomic.Int32
-	mu      sync.Mutex
-	conn    net.Conn
+	dialled    atomic.Bool
+	closed     atomic.Bool
+	writeState atomic.Int32
+	mu         sync.Mutex
+	conn       net.Conn
 
-	idleSince time.Time
-	keep      time.Duration
+	idleSince   time.Time
+	idleTimeout time.Duration
 }
 
 const (
-	connectionUntouched int32 = iota
-	connectionTouched
-	connectionSealed
+	requestUnsent int32 = iota
+	requestMayBeSent
+	requestBlocked
 )
 
 func newConnection(network chivewire.Network, self string) *connection {
-	c := &connection{network: network, self: self, keep: connectionIdle}
+	c := &connection{network: network, self: self, idleTimeout: defaultIdleTimeout}
 	c.transport = &http.Transport{
-		DialContext: c.dial, MaxIdleConnsPerHost: 1, DisableCompression: true, WriteBufferSize: connectionBuffer, ReadBufferSize: connectionBuffer,
+		DialContext: c.dial, MaxIdleConnsPerHost: 1, DisableCompression: true, WriteBufferSize: connectionBufferSize, ReadBufferSize: connectionBufferSize,
 	}
 	return c
 }
 
 func (c *connection) dial(ctx context.Context, _, address string) (net.Conn, error) {
 	if c.dialled.Swap(true) {
-		return nil, errDialledTwice
+		return nil, errSecondDial
 	}
-	ctx, cancel := context.WithTimeout(ctx, connectionDial)
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	conn, err := c.network.Dial(ctx, c.self, address)
 	if err != nil {
@@ -90,60 +91,60 @@
 		return nil, errClosed
 	}
 	c.conn = conn
-	return &countedConn{Conn: conn, connection: c}, nil
+	return &writeTrackingConn{Conn: conn, connection: c}, nil
 }
 
-// arm makes the connection ready to count the bytes of the next request.
-func (c *connection) arm() { c.state.Store(connectionUntouched) }
+// resetWriteState prepares the connection to detect the first byte of the next request.
+func (c *connection) resetWriteState() { c.writeState.Store(requestUnsent) }
 
-// touched reports whether a byte of the request may have left, and makes sure that none does from then on if none has:
-// net/http answers a cancelled request while its writer may be just about to write.
-func (c *connection) touched() bool {
-	c.state.CompareAndSwap(connectionUntouched, connectionSealed)
-	return c.state.Load() == connectionTouched
+// mayHaveSent reports whether a byte of the request may have been sent. If none was, it blocks all later writes: after
+// a cancellation net/http may return while its writer is still about to write.
+func (c *connection) mayHaveSent() bool {
+	c.writeState.CompareAndSwap(requestUnsent, requestBlocked)
+	return c.writeState.Load() == requestMayBeSent
 }
 
-// close ends the connection, also when its dial is still under way.
+// close closes the connection, even while it is being dialled.
 func (c *connection) close() {
 	c.closed.Store(true)
 	c.mu.Lock()
 	conn := c.conn
 	c.mu.Unlock()
 	if conn != nil {
-		// The connection is given up; what its closing says does not matter any more.
+		// The connection is discarded, so an error on closing it does not matter.
 		_ = conn.Close()
 	}
 	c.transport.CloseIdleConnections()
 }
 
-// fresh reports whether the connection may carry another request.
-func (c *connection) fresh(now time.Time) bool {
-	return !c.closed.Load() && now.Sub(c.idleSince) < c.keep
+// isReusable reports whether the connection may carry another request.
+func (c *connection) isReusable(now time.Time) bool {
+	return !c.closed.Load() && now.Sub(c.idleSince) < c.idleTimeout
 }
 
-type countedConn struct {
+type writeTrackingConn struct {
 	net.Conn
 	connection *connection
 }
 
-// Write marks the request as sent before the bytes leave, so that a write that fails half-way still counts.
-func (c *countedConn) Write(data []byte) (int, error) {
-	c.connection.state.CompareAndSwap(connectionUntouched, connectionTouched)
-	if c.connection.state.Load() == connectionSealed {
-		return 0, errSealed
+// Write marks the request as sent before it writes, so that a write that fails part-way still counts.
+func (c *writeTrackingConn) Write(data []byte) (int, error) {
+	c.connection.writeState.CompareAndSwap(requestUnsent, requestMayBeSent)
+	if c.connection.writeState.Load() == requestBlocked {
+		return 0, errWriteBlocked
 	}
 	return c.Conn.Write(data) //nolint:wrapcheck // net/http wraps it
 }
 
-// Close marks the connection, so that it is not chosen for another request.
-func (c *countedConn) Close() error {
+// Close marks the connection as closed, so that it is not reused.
+func (c *writeTrackingConn) Close() error {
 	c.connection.closed.Store(true)
-	return c.Conn.Close() //nolint:wrapcheck // nobody reads it
+	return c.Conn.Close() //nolint:wrapcheck // the error is not used
 }
 
-// connections are the idle connections by the incarnation of the endpoint: its address may belong to another one later, and a process that started
-// again has none of those to the one before it.
-type connections struct {
+// connectionPool holds the idle connections by the endpoint's incarnation. The address would be no safe key, since
+// another endpoint may get it later; and a restarted process has none of the connections of its predecessor.
+type connectionPool struct {
 	network chivewire.Network
 	self    string
 	mu      sync.Mutex
@@ -152,23 +153,23 @@
 	reused  int64
 }
 
-func newConnections(network chivewire.Network, self string) *connections {
-	return &connections{network: network, self: self, idle: make(map[string][]*connection)}
+func newConnectionPool(network chivewire.Network, self string) *connectionPool {
+	return &connectionPool{network: network, self: self, idle: make(map[string][]*connection)}
 }
 
-// get returns the connection to an endpoint that was used last, or a new one.
-func (p *connections) get(endpoint string, fresh bool) *connection {
+// get returns the most recently used idle connection to an endpoint, or a new one.
+func (p *connectionPool) get(endpoint string, forceNew bool) *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	kept := p.idle[endpoint]
-	for len(kept) > 0 && !fresh {
-		c := kept[len(kept)-1]
-		kept = kept[:len(kept)-1]
-		p.idle[endpoint] = kept
-		if c.fresh(now) {
+	idle := p.idle[endpoint]
+	for len(idle) > 0 && !forceNew {
+		c := idle[len(idle)-1]
+		idle = idle[:len(idle)-1]
+		p.idle[endpoint] = idle
+		if c.isReusable(now) {
 			p.reused++
-			c.arm()
+			c.resetWriteState()
 			return c
 		}
 		c.close()
@@ -177,21 +178,21 @@
 	return newConnection(p.network, p.self)
 }
 
-// put keeps a connection whose answer came whole; the header tells for how long the endpoint keeps it.
-func (p *connections) put(endpoint string, c *connection, header http.Header) {
-	c.keep = keepFor(header)
+// put keeps a connection after a complete response; the header gives the endpoint's idle timeout.
+func (p *connectionPool) put(endpoint string, c *connection, header http.Header) {
+	c.idleTimeout = idleTimeoutOf(header)
 	c.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.closed.Load() || len(p.idle[endpoint]) >= connectionsPerEndpoint {
+	if c.closed.Load() || len(p.idle[endpoint]) >= maxIdlePerEndpoint {
 		c.close()
 		return
 	}
 	p.idle[endpoint] = append(p.idle[endpoint], c)
 }
 
-// keepFor reads how long an endpoint keeps an idle connection.
-func keepFor(header http.Header) time.Duration {
+// idleTimeoutOf returns how long to keep an idle connection, from the endpoint's Keep-Alive header.
+func idleTimeoutOf(header http.Header) time.Duration {
 	for _, field := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -199,45 +200,45 @@
 		}
 		seconds, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
 		if err == nil && seconds > 0 {
-			return time.Duration(seconds * connectionMargin * float64(time.Second))
+			return time.Duration(seconds * idleTimeoutShare * float64(time.Second))
 		}
 	}
-	return connectionIdle
+	return defaultIdleTimeout
 }
 
-// sweep closes connections that were idle for too long.
-func (p *connections) sweep(now time.Time) {
+// sweep closes connections whose idle timeout has passed.
+func (p *connectionPool) sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for endpoint, kept := range p.idle {
-		fresh := kept[:0]
-		for _, c := range kept {
-			if c.fresh(now) {
-				fresh = append(fresh, c)
+	for endpoint, idle := range p.idle {
+		reusable := idle[:0]
+		for _, c := range idle {
+			if c.isReusable(now) {
+				reusable = append(reusable, c)
 			} else {
 				c.close()
 			}
 		}
-		if len(fresh) == 0 {
+		if len(reusable) == 0 {
 			delete(p.idle, endpoint)
 			continue
 		}
-		p.idle[endpoint] = fresh
+		p.idle[endpoint] = reusable
 	}
 }
 
-func (p *connections) closeAll() {
+func (p *connectionPool) closeAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, kept := range p.idle {
-		for _, c := range kept {
+	for _, idle := range p.idle {
+		for _, c := range idle {
 			c.close()
 		}
 	}
 	p.idle = make(map[string][]*connection)
 }
 
-func (p *connections) counts() (opened, reused int64) {
+func (p *connectionPool) counts() (opened, reused int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.opened, p.reused
--- a/chiveforward/event.go
+++ b/chiveforward/event.go
@@ -9,42 +9,42 @@
 	"strconv"
 )
 
-// maxEventBytes bounds one event of a stream; engines send a few tokens an event.
+// maxEventBytes limits one event of a stream; engines send a few tokens per event.
 const maxEventBytes = 1 << 20
 
-// errEventTooLong ends a stream whose event has no end.
-var errEventTooLong = fmt.Errorf("an event of the stream is longer than %d bytes", maxEventBytes)
+// errEventTooLong ends a stream with an event that exceeds maxEventBytes.
+var errEventTooLong = fmt.Errorf("stream event is longer than %d bytes", maxEventBytes)
 
 var idField = []byte("id:")
 
-// event is one complete event of a stream, byte for byte, and its id.
+// event is one complete event of a stream, with its unmodified bytes and its ID.
 type event struct {
 	data []byte
 	id   string
 }
 
-// eventReader cuts a stream into its events: lines up to an empty one.
+// eventReader splits a stream into events. An empty line ends an event.
 type eventReader struct {
-	from *bufio.Reader
-	data []byte
+	reader *bufio.Reader
+	buffer []byte
 }
 
 func newEventReader(body io.Reader) *eventReader {
-	return &eventReader{from: bufio.NewReaderSize(body, connectionBuffer)}
+	return &eventReader{reader: bufio.NewReaderSize(body, connectionBufferSize)}
 }
 
-// next returns the next complete event; its bytes are valid until the next call. At the end of the stream rest holds the
-// bytes of an event that was cut off.
-func (r *eventReader) next() (e event, rest []byte, err error) {
-	r.data = r.data[:0]
+// next returns the next complete event, whose bytes are valid until the next call. On an error, partial holds the bytes
+// of an incomplete event.
+func (r *eventReader) next() (e event, partial []byte, err error) {
+	r.buffer = r.buffer[:0]
 	for {
-		from := len(r.data)
-		if err := r.line(); err != nil {
-			return event{}, r.data, err
+		lineStart := len(r.buffer)
+		if err := r.readLine(); err != nil {
+			return event{}, r.buffer, err
 		}
-		line := bytes.TrimRight(r.data[from:], "\r\n")
+		line := bytes.TrimRight(r.buffer[lineStart:], "\r\n")
 		if len(line) == 0 {
-			e.data = r.data
+			e.data = r.buffer
 			return e, nil, nil
 		}
 		if value, ok := bytes.CutPrefix(line, idField); ok {
@@ -53,28 +53,29 @@
 	}
 }
 
-// line appends the next line, its end included.
-func (r *eventReader) line() error {
+// readLine appends the next line to the buffer, including its line break.
+func (r *eventReader) readLine() error {
 	for {
-		piece, err := r.from.ReadSlice('\n')
-		r.data = append(r.data, piece...)
+		fragment, err := r.reader.ReadSlice('\n')
+		r.buffer = append(r.buffer, fragment...)
 		if err == nil {
 			return nil
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
-			return err //nolint:wrapcheck // told apart by its identity
+			return err //nolint:wrapcheck // callers compare it with io.EOF
 		}
-		if len(r.data) > maxEventBytes {
+		if len(r.buffer) > maxEventBytes {
 			return errEventTooLong
 		}
 	}
 }
 
-// more reports whether bytes of a further event are already there.
-func (r *eventReader) more() bool { return r.from.Buffered() > 0 }
+// hasBuffered reports whether bytes of a further event have already arrived.
+func (r *eventReader) hasBuffered() bool { return r.reader.Buffered() > 0 }
 
-// after reports whether an event comes after the last one that was delivered; ids that are not numbers are taken as they come.
-func after(id, last string) bool {
+// isAfter reports whether an event follows the last one that was delivered. IDs that are not numbers are only checked
+// for being different.
+func isAfter(id, last string) bool {
 	if id == "" || last == "" {
 		return true
 	}
--- a/chiveforward/failure.go
+++ b/chiveforward/failure.go
@@ -14,52 +14,56 @@
 )
 
 const (
-	// evidenceWait is how long a request whose attempt broke waits for the health check, so that its next attempt knows of the crash.
-	evidenceWait = 25 * time.Millisecond
-	// acceptedAfter is how long an attempt without an answer has to have run to count as accepted: an endpoint with too many connections
-	// resets a new one sooner, and the requests on its other connections run on.
+	// healthCheckWait is how long a request waits for the health check after its attempt broke off, so that the next
+	// attempt takes a crash into account.
+	healthCheckWait = 25 * time.Millisecond
+	// acceptedAfter is how long an attempt without a response must have run for the endpoint to count as having
+	// accepted the request. An endpoint with too many connections resets a new one sooner than that, while the requests
+	// on its other connections continue.
 	acceptedAfter = 20 * time.Millisecond
-	// inconclusiveFor is how long an attempt is remembered whose break has no conclusive evidence: the endpoint's successor registers within that.
-	inconclusiveFor = 3 * time.Second
-	// inconclusiveMost bounds the memory; the oldest are dropped.
-	inconclusiveMost = 256
-	// recheckAfter is when an endpoint that reset an attempt at once is checked again: an overloaded one has taken connections by then.
-	recheckAfter = time.Second
+	// inconclusiveRetention is how long a broken attempt without conclusive evidence is kept. The successor of a
+	// crashed endpoint registers within this time.
+	inconclusiveRetention = 3 * time.Second
+	// maxInconclusive limits the number of these attempts; the oldest are dropped first.
+	maxInconclusive = 256
+	// recheckDelay is the delay before a second health check of an endpoint that reset an attempt immediately. An
+	// endpoint that was only overloaded accepts connections again by then.
+	recheckDelay = time.Second
 )
 
-// errReplaced is the cause of an attempt that was cancelled since another process has taken the endpoint's place.
-var errReplaced = errors.New("another process has taken the endpoint's place")
+// errReplaced is the cause of an attempt that was cancelled because another process replaced the endpoint's.
+var errReplaced = errors.New("endpoint process was replaced by another process")
 
-// brokenAttempt is an attempt whose break has no conclusive evidence yet.
+// brokenAttempt is an attempt that broke off without conclusive evidence of a crash so far.
 type brokenAttempt struct {
-	call *call
-	at   time.Time
+	attempt *attempt
+	brokeAt time.Time
 }
 
-// brokenAttempts are such attempts, the oldest first.
+// brokenAttempts holds attempts that broke off without conclusive evidence, the oldest first.
 type brokenAttempts struct {
-	mu  sync.Mutex
-	all []brokenAttempt
+	mu       sync.Mutex
+	attempts []brokenAttempt
 }
 
-func (b *brokenAttempts) add(one brokenAttempt) {
+func (b *brokenAttempts) add(broken brokenAttempt) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.all) >= inconclusiveMost {
-		b.all = slices.Delete(b.all, 0, 1)
+	if len(b.attempts) >= maxInconclusive {
+		b.attempts = slices.Delete(b.attempts, 0, 1)
 	}
-	b.all = append(b.all, one)
+	b.attempts = append(b.attempts, broken)
 }
 
-// take removes and returns the recent attempts at some endpoints.
-func (b *brokenAttempts) take(now time.Time, isMeant func(Target) bool) []brokenAttempt {
+// take removes and returns the recent attempts at the endpoints that match.
+func (b *brokenAttempts) take(now time.Time, matches func(Target) bool) []brokenAttempt {
 	b.sweep(now)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var taken []brokenAttempt
-	b.all = slices.DeleteFunc(b.all, func(one brokenAttempt) bool {
-		if isMeant(one.call.target) {
-			taken = append(taken, one)
+	b.attempts = slices.DeleteFunc(b.attempts, func(broken brokenAttempt) bool {
+		if matches(broken.attempt.target) {
+			taken = append(taken, broken)
 			return true
 		}
 		return false
@@ -67,141 +71,144 @@
 	return taken
 }
 
-// sweep drops the attempts that are too old: each keeps a request with its body.
+// sweep drops expired attempts, each of which keeps a request and its body in memory.
 func (b *brokenAttempts) sweep(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.all = slices.DeleteFunc(b.all, func(one brokenAttempt) bool { return now.Sub(one.at) >= inconclusiveFor })
+	b.attempts = slices.DeleteFunc(b.attempts, func(broken brokenAttempt) bool { return now.Sub(broken.brokeAt) >= inconclusiveRetention })
 }
 
-// explainBreak looks for evidence that the endpoint failed under an attempt that broke, and reports it. The next attempt waits for that a short while
-// at most.
-func (f *Forwarder) explainBreak(ctx context.Context, c *call) {
+// investigateBreak checks whether the endpoint of a broken attempt crashed, and reports it if so. It returns after
+// healthCheckWait at the latest; a check that takes longer continues in the background.
+func (f *Forwarder) investigateBreak(ctx context.Context, a *attempt) {
 	brokeAt := time.Now()
-	f.inFlight.broke(c.target.Incarnation, brokeAt)
-	if c.replaced {
-		f.reportCrash(c, chivehealth.EvidenceReplaced, brokeAt)
+	f.inFlight.recordBreak(a.target.Incarnation, brokeAt)
+	if a.endpointReplaced {
+		f.reportCrash(a, chivehealth.EvidenceReplaced, brokeAt)
 		return
 	}
-	check := f.health.Start(c.target.healthTarget())
-	judge := func() { f.judgeBreak(c, check, brokeAt) }
+	check := f.health.Start(a.target.healthEndpoint())
+	evaluate := func() { f.evaluateBreak(a, check, brokeAt) }
 	select {
 	case <-check.Done():
-		judge()
+		evaluate()
 	case <-ctx.Done():
-		go judge()
-	case <-time.After(evidenceWait):
-		go judge()
+		go evaluate()
+	case <-time.After(healthCheckWait):
+		go evaluate()
 	}
 }
 
-// judgeBreak reports the failure of an endpoint under an attempt that broke, where the evidence is strong enough.
-func (f *Forwarder) judgeBreak(c *call, check *chivehealth.Check, brokeAt time.Time) {
+// evaluateBreak reports a crash of the endpoint during a broken attempt if the evidence is strong enough.
+func (f *Forwarder) evaluateBreak(a *attempt, check *chivehealth.Check, brokeAt time.Time) {
 	result := check.Result()
 	switch evidence := result.Evidence; {
 	case result.Alive && !check.Began().Before(brokeAt):
 	case evidence == chivehealth.EvidenceRefused:
-		f.reportCrash(c, evidence, brokeAt)
-	case !c.endpointWasAlive && !c.wasAccepted(brokeAt):
-		// The endpoint may have failed before the attempt; where it refuses, such an attempt would not have reached it.
-	case evidence == chivehealth.EvidenceReplaced, evidence != chivehealth.EvidenceNone && c.wasAccepted(brokeAt):
-		f.reportCrash(c, evidence, brokeAt)
+		f.reportCrash(a, evidence, brokeAt)
+	case !a.endpointWasAlive && !a.wasAccepted(brokeAt):
+		// The endpoint may have failed before the attempt began. With EvidenceRefused this cannot be: an endpoint that
+		// had already been refusing connections would not have received the attempt.
+	case evidence == chivehealth.EvidenceReplaced, evidence != chivehealth.EvidenceNone && a.wasAccepted(brokeAt):
+		f.reportCrash(a, evidence, brokeAt)
 	default:
-		f.inconclusive.add(brokenAttempt{c, brokeAt})
+		f.inconclusive.add(brokenAttempt{a, brokeAt})
 		if evidence != chivehealth.EvidenceNone {
-			time.AfterFunc(recheckAfter, func() { f.recheck(c, brokeAt) })
+			time.AfterFunc(recheckDelay, func() { f.recheck(a, brokeAt) })
 		}
 	}
 }
 
-// recheck looks again at an endpoint that reset an attempt at once and a health check too.
-func (f *Forwarder) recheck(c *call, brokeAt time.Time) {
-	result := f.health.Start(c.target.healthTarget()).Result()
-	isMeant := func(t Target) bool { return t.Incarnation == c.target.Incarnation }
+// recheck repeats the health check of an endpoint that immediately reset both an attempt and a first health check.
+func (f *Forwarder) recheck(a *attempt, brokeAt time.Time) {
+	result := f.health.Start(a.target.healthEndpoint()).Result()
+	isSameProcess := func(t Target) bool { return t.Incarnation == a.target.Incarnation }
 	if result.Alive || result.Evidence == chivehealth.EvidenceNone {
 		return
 	}
-	if _, lastActivity := f.inFlight.at(c.target.Incarnation); lastActivity.After(brokeAt) {
+	if _, lastActivity := f.inFlight.attemptsAt(a.target.Incarnation); lastActivity.After(brokeAt) {
 		return
 	}
-	for _, d := range f.inconclusive.take(time.Now(), isMeant) {
-		f.reportCrash(d.call, result.Evidence, d.at)
+	for _, broken := range f.inconclusive.take(time.Now(), isSameProcess) {
+		f.reportCrash(broken.attempt, result.Evidence, broken.brokeAt)
 	}
 }
 
-// reportCrash reports that the endpoint of an attempt failed under it, unless it was to end.
-func (f *Forwarder) reportCrash(c *call, evidence chivehealth.Evidence, at time.Time) {
-	r := c.run
-	leaving := c.place.Leaving(at)
-	chiveevent.EndpointCrashed.Log(context.Background(), f.o.Logger, chiveevent.Request(r.request.ID), chiveevent.Content(r.request.Content),
-		slog.String("route", r.request.Route.Name), slog.String("team", r.request.Team), slog.String("endpoint", c.target.ID),
-		slog.String("evidence", evidence.String()), slog.Int64("took_ms", max(at.Sub(c.began), 0).Milliseconds()),
-		slog.Bool("answering", c.answering.Load()), slog.Bool("leaving", leaving))
+// reportCrash reports that an endpoint failed during an attempt, unless its end was planned.
+func (f *Forwarder) reportCrash(a *attempt, evidence chivehealth.Evidence, at time.Time) {
+	r := a.state
+	leaving := a.place.Leaving(at)
+	chiveevent.EndpointCrashed.Log(context.Background(), f.options.Logger, chiveevent.Request(r.request.ID), chiveevent.Content(r.request.Content),
+		slog.String("route", r.request.Route.Name), slog.String("team", r.request.Team), slog.String("endpoint", a.target.ID),
+		slog.String("evidence", evidence.String()), slog.Int64("took_ms", max(at.Sub(a.startedAt), 0).Milliseconds()),
+		slog.Bool("answering", a.streaming.Load()), slog.Bool("leaving", leaving))
 	if !leaving {
-		f.o.Quarantine.Crashed(time.Now(), r.request, c.target.failure(evidence, at))
+		f.options.Quarantine.Crashed(time.Now(), r.request, a.target.failure(evidence, at))
 	}
 }
 
-// registered holds which endpoint has which address, as the directory has it.
-type registered struct {
-	mu        sync.Mutex
-	addressOf map[string]string
+// registeredAddresses holds the addresses of the endpoints in the directory, by ID.
+type registeredAddresses struct {
+	mu   sync.Mutex
+	byID map[string]string
 }
 
-func newRegistered() *registered {
-	return &registered{addressOf: make(map[string]string)}
+func newRegisteredAddresses() *registeredAddresses {
+	return &registeredAddresses{byID: make(map[string]string)}
 }
 
-// apply takes a change of the directory, and returns whether it replaced the process of a target: by a later one under its id, or by another endpoint
-// at its address while it is not registered any more.
-func (r *registered) apply(diff chivedirectory.Diff) (replaced func(Target) bool) {
+// apply applies a directory change. The function that it returns reports whether the change replaced a target's
+// process: by a later process with the same ID, or by another endpoint at the address of a target that is no longer
+// registered.
+func (r *registeredAddresses) apply(diff chivedirectory.Diff) (replaced func(Target) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	incarnations := make(map[string]string, len(diff.Changed))
 	for _, e := range diff.Gone {
-		delete(r.addressOf, e.ID)
+		delete(r.byID, e.ID)
 	}
 	for _, e := range diff.Changed {
-		r.addressOf[e.ID] = e.Address
+		r.byID[e.ID] = e.Address
 		incarnations[e.ID] = e.Incarnation().Key()
 	}
 	return func(t Target) bool {
-		if now, changed := incarnations[t.ID]; changed {
-			return now != t.Incarnation
+		if current, changed := incarnations[t.ID]; changed {
+			return current != t.Incarnation
 		}
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if _, present := r.addressOf[t.ID]; present {
+		if _, present := r.byID[t.ID]; present {
 			return false
 		}
-		return r.isTaken(t.Address)
+		return r.contains(t.Address)
 	}
 }
 
-// isTaken reports whether an endpoint is registered at an address. That is asked for the few requests under way at an endpoint that left, so the
-// addresses have no index; the caller holds the lock.
-func (r *registered) isTaken(address string) bool {
-	for _, taken := range r.addressOf {
-		if taken == address {
+// contains reports whether an endpoint is registered at an address. The caller holds the lock. Addresses have no index,
+// because this is only called for the few endpoints that have left while attempts are in flight there.
+func (r *registeredAddresses) contains(address string) bool {
+	for _, registered := range r.byID {
+		if registered == address {
 			return true
 		}
 	}
 	return false
 }
 
-// ApplyEndpoints takes a change of the directory: attempts at processes that others have replaced are cancelled, since nothing answers them any more.
+// ApplyEndpoints applies a directory change. Attempts at processes that were replaced are cancelled, since they will
+// never be answered.
 func (f *Forwarder) ApplyEndpoints(diff chivedirectory.Diff) {
 	replaced := f.registered.apply(diff)
-	for _, t := range f.inFlight.targets() {
+	for _, t := range f.inFlight.activeTargets() {
 		if !replaced(t) {
 			continue
 		}
-		calls, _ := f.inFlight.at(t.Incarnation)
-		for _, c := range calls {
-			c.cancel(errReplaced)
+		attempts, _ := f.inFlight.attemptsAt(t.Incarnation)
+		for _, a := range attempts {
+			a.cancel(errReplaced)
 		}
 	}
-	for _, d := range f.inconclusive.take(time.Now(), replaced) {
-		f.reportCrash(d.call, chivehealth.EvidenceReplaced, d.at)
+	for _, broken := range f.inconclusive.take(time.Now(), replaced) {
+		f.reportCrash(broken.attempt, chivehealth.EvidenceReplaced, broken.brokeAt)
 	}
 }
--- a/chiveforward/forwarder.go
+++ b/chiveforward/forwarder.go
@@ -16,7 +16,7 @@
 // ServiceName is the name under which the forwarder registers.
 const ServiceName = "forward"
 
-// Options are the parts a forwarder is made of.
+// Options configures a Forwarder.
 type Options struct {
 	Self    string
 	Network chivewire.Network
@@ -24,102 +24,111 @@
 	Places  Places
 	Repeats Repeats
 	Rules   Rules
-	// Quarantine keeps requests away from endpoints that crash under them; nil quarantines nothing.
+	// Quarantine blocks requests that crash endpoints; nil disables quarantining.
 	Quarantine Quarantine
-	// OnStart is called once per request, when an endpoint first answers any of its attempts; nil is a no-op.
+	// OnStart is called once per request, when an endpoint first responds to one of its attempts; nil is a no-op.
 	OnStart func(request *chiverequest.Request)
 	Logger  *slog.Logger
-	// SinceBoot reads a clock that goes on while the machine is suspended; nil takes the runtime's, which tests pause.
+	// SinceBoot reads a clock that keeps running while the machine is suspended. If nil, the runtime's clock is used,
+	// which tests can pause.
 	SinceBoot func() time.Duration
 }
 
-// Rules are what differs between kinds of endpoints in how often they may be tried.
+// Rules sets how often requests may be tried, depending on the kind of endpoint.
 type Rules struct {
-	// Refusals is how many attempts may be refused, or reach nobody, before the request is given up.
+	// Refusals is how many attempts may be refused, or fail to reach an endpoint, before the request is given up.
 	Refusals int
-	// RefusalsCost means that going on after an endpoint's refusal takes a repeat from the budget.
+	// RefusalsCost means that a retry after an endpoint refused the request is charged to the retry budget.
 	RefusalsCost bool
-	// RetryErrors means that a request which may be repeated goes elsewhere after an endpoint's error of its own.
+	// RetryErrors means that a repeatable request is retried on another endpoint after an endpoint returned an error of
+	// its own.
 	RetryErrors bool
-	// FreshOnce means that a request which may run once gets a new connection: the endpoints' answers do not say to which
-	// request they belong, so a late one on a kept connection could be taken for its own.
+	// FreshOnce means that a request that must not run twice is sent on a new connection. It is for endpoints whose
+	// responses do not identify their request: a late response on a reused connection could be mistaken for the
+	// response to this one.
 	FreshOnce bool
 }
 
 // StoreRules are the rules for endpoints that register in the platform's store.
 var StoreRules = Rules{Refusals: 3, RefusalsCost: true, RetryErrors: true}
 
-// Places hands out places on endpoints.
+// Places selects endpoints for requests.
 type Places interface {
-	// Take waits for a place; the error is a *chiveplace.RefusedError, or the context's.
+	// Take waits for an endpoint that can take the request. The error is a *chiveplace.RefusedError or the context's
+	// error.
 	Take(ctx context.Context, request *chiverequest.Request, exclude []string) (Place, error)
 }
 
-// Target is an endpoint that a request is sent to.
+// Target is the endpoint to which a request is sent.
 type Target struct {
-	// ID is what the request names, so that no other endpoint at the address runs it.
+	// ID is sent with the request, so that another endpoint at the same address does not run it.
 	ID string
-	// Incarnation names the start of its process: connections are kept, and attempts are excluded, by it.
+	// Incarnation identifies one start of the endpoint's process. It is the key for idle connections and for endpoints
+	// that are excluded from retries.
 	Incarnation string
-	// Unique means that Incarnation names a single process, and not an endpoint over all starts of its process.
+	// Unique means that Incarnation identifies a single process. Otherwise it stays the same when the endpoint
+	// restarts.
 	Unique        bool
 	Address       string
 	FailureDomain string
 }
 
-// healthTarget returns what a health check needs to know of the endpoint.
-func (t Target) healthTarget() chivehealth.Endpoint {
+// healthEndpoint returns the endpoint in the form that a health check takes.
+func (t Target) healthEndpoint() chivehealth.Endpoint {
 	return chivehealth.Endpoint{ID: t.ID, Incarnation: t.Incarnation, Address: t.Address}
 }
 
-// failure returns the endpoint's failure at a time.
+// failure returns a Failure of the endpoint with the given evidence and time.
 func (t Target) failure(evidence chivehealth.Evidence, at time.Time) chivehealth.Failure {
 	return chivehealth.Failure{Endpoint: t.Incarnation, Unique: t.Unique, FailureDomain: t.FailureDomain, Evidence: evidence, At: at}
 }
 
-// Place is one request's place on one endpoint.
+// Place is the assignment of one request to one endpoint.
 type Place interface {
-	// Target returns where the place is.
+	// Target returns the selected endpoint.
 	Target() Target
-	// Why returns what decided for the endpoint, for the log.
+	// Why returns log attributes that explain why the endpoint was selected.
 	Why() []slog.Attr
-	// Leaving reports whether the endpoint was about to leave at a time, or had left: its end then was planned.
+	// Leaving reports whether the endpoint was leaving at the given time or had already left, so that its end was
+	// planned.
 	Leaving(at time.Time) bool
-	// FetchFrom returns the address from which the endpoint should fetch the parts of the prompt that it lacks; empty for none.
+	// FetchFrom returns the address from which the endpoint should fetch the parts of the prompt that it does not hold;
+	// empty for none.
 	FetchFrom() string
-	// Preempted is closed when the place is wanted back for more urgent work; nil where that never happens.
+	// Preempted is closed when a more urgent request needs the capacity; nil if that never happens.
 	Preempted() <-chan struct{}
-	// Event notes an event of the answer and how long it was waited for; the first means that the answer has begun.
+	// Event records an event of the response and the time spent waiting for it. The first event marks the start of the
+	// response.
 	Event(now time.Time, waited time.Duration)
-	// Eject keeps new requests from the endpoint until a time.
+	// Eject keeps new requests from the endpoint until the given time.
 	Eject(until time.Time)
-	// Done gives the place back and returns for how long the endpoint is ejected now.
+	// Done releases the place and returns how long the endpoint is ejected from now on.
 	Done(now time.Time, ending chiveplace.Ending) time.Duration
 }
 
-// Repeats bounds how often requests are sent again.
+// Repeats limits how often requests are retried.
 type Repeats interface {
 	// Request counts a caller's request.
 	Request(now time.Time, request *chiverequest.Request)
-	// Spend takes one repeat and reports whether there was one left.
+	// Spend charges one retry to the budget and reports whether it was allowed.
 	Spend(now time.Time, request *chiverequest.Request) bool
-	// Explain returns what the bound rests on, for the log.
+	// Explain returns log attributes that describe the current limit.
 	Explain(now time.Time, request *chiverequest.Request) []slog.Attr
 }
 
-// Forwarder carries requests to endpoints and their answers back.
+// Forwarder sends requests to endpoints and returns their responses.
 type Forwarder struct {
-	o            Options
-	connections  *connections
+	options      Options
+	connections  *connectionPool
 	health       *chivehealth.Checker
-	inFlight     *inFlight
-	registered   *registered
+	inFlight     *inFlightAttempts
+	registered   *registeredAddresses
 	inconclusive brokenAttempts
-	running      runningRequests
-	duties       chivekernel.Duties
+	inProgress   inProgressRequests
+	background   chivekernel.Duties
 }
 
-// New returns a forwarder without connections.
+// New returns a forwarder without open connections.
 func New(o Options) *Forwarder {
 	if o.Quarantine == nil {
 		o.Quarantine = noQuarantine{}
@@ -128,28 +137,28 @@
 		o.OnStart = func(*chiverequest.Request) {}
 	}
 	if o.SinceBoot == nil {
-		began := time.Now()
-		o.SinceBoot = func() time.Duration { return time.Since(began) }
+		start := time.Now()
+		o.SinceBoot = func() time.Duration { return time.Since(start) }
 	}
 	return &Forwarder{
-		o: o, connections: newConnections(o.Network, o.Self), health: chivehealth.NewChecker(o.Self, o.Network, o.Dialect), inFlight: newInFlight(), registered: newRegistered(),
+		options: o, connections: newConnectionPool(o.Network, o.Self), health: chivehealth.NewChecker(o.Self, o.Network, o.Dialect), inFlight: newInFlightAttempts(), registered: newRegisteredAddresses(),
 	}
 }
 
-// Start begins to close idle connections and to watch for endpoints that go silent.
+// Start begins to close expired idle connections and to detect silent endpoints.
 func (f *Forwarder) Start(ctx context.Context) error {
-	f.duties.Begin(ctx, f.sweep, f.watchSilence)
+	f.background.Begin(ctx, f.sweep, f.detectSilence)
 	return nil
 }
 
-// Stop closes every idle connection.
+// Stop ends the background goroutines and closes all idle connections.
 func (f *Forwarder) Stop(context.Context) error {
-	f.duties.End()
+	f.background.End()
 	f.connections.closeAll()
 	return nil
 }
 
-// Dump returns how many connections were opened and used again.
+// Dump returns how many connections were opened and how often one was reused.
 func (f *Forwarder) Dump() any {
 	opened, reused := f.connections.counts()
 	return struct {
@@ -159,7 +168,7 @@
 }
 
 func (f *Forwarder) sweep(ctx context.Context) {
-	chivekernel.Every(ctx, sweepEvery, func(now time.Time) {
+	chivekernel.Every(ctx, sweepInterval, func(now time.Time) {
 		f.connections.sweep(now)
 		f.health.Sweep(now)
 		f.inFlight.sweep(now)
@@ -168,22 +177,22 @@
 }
 
 // InProgress returns the number of requests in progress, by pool.
-func (f *Forwarder) InProgress() map[string]int64 { return f.running.counts() }
+func (f *Forwarder) InProgress() map[string]int64 { return f.inProgress.counts() }
 
-// errDeadline is the cause of a context whose request has run out of time.
-var errDeadline = errors.New("the request's time ran out")
+// errDeadline is the cancellation cause of a request whose deadline has passed.
+var errDeadline = errors.New("request deadline exceeded")
 
-// Run carries a request through to its outcome.
+// Run sends a request until it is answered or given up, and returns its result.
 func (f *Forwarder) Run(parent context.Context, request *chiverequest.Request, sink Sink) Result {
 	ctx, cancel := context.WithDeadlineCause(parent, request.Deadline, errDeadline)
 	defer cancel()
-	f.o.Repeats.Request(time.Now(), request)
-	defer f.running.begin(request.Pool)()
-	r := &run{f: f, request: request, sink: sink, last: request.LastEvent, watch: newStopwatch(f.o.SinceBoot)}
-	if r.isQuarantined(ctx) {
+	f.options.Repeats.Request(time.Now(), request)
+	defer f.inProgress.begin(request.Pool)()
+	r := &requestState{forwarder: f, request: request, sink: sink, lastEventID: request.LastEvent, suspension: newSuspensionTimer(f.options.SinceBoot)}
+	if r.refuseIfQuarantined(ctx) {
 		return r.result
 	}
-	for !r.attempt(ctx) {
+	for !r.runAttempt(ctx) {
 	}
 	return r.result
 }
--- a/chiveforward/running.go
+++ b/chiveforward/in_progress.go
@@ -5,19 +5,19 @@
 	"sync"
 )
 
-// runningRequests counts the requests in progress by pool. The zero value is ready to use.
-type runningRequests struct {
+// inProgressRequests counts the requests in progress by pool. The zero value is ready to use.
+type inProgressRequests struct {
 	mu     sync.Mutex
 	byPool map[string]int64
 }
 
 // begin counts a request as in progress until end is called.
-func (r *runningRequests) begin(pool string) (end func()) {
+func (r *inProgressRequests) begin(pool string) (end func()) {
 	r.add(pool, 1)
 	return func() { r.add(pool, -1) }
 }
 
-func (r *runningRequests) add(pool string, n int64) {
+func (r *inProgressRequests) add(pool string, n int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.byPool == nil {
@@ -30,7 +30,7 @@
 }
 
 // counts returns a copy of the counts.
-func (r *runningRequests) counts() map[string]int64 {
+func (r *inProgressRequests) counts() map[string]int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return maps.Clone(r.byPool)
--- a/chiveforward/inflight.go
+++ b/chiveforward/inflight.go
@@ -6,214 +6,216 @@
 	"time"
 )
 
-// inFlight holds the attempts that are under way, by the incarnation of their endpoint.
-type inFlight struct {
+// inFlightAttempts holds the attempts in flight, by the incarnation of their endpoint.
+type inFlightAttempts struct {
 	mu        sync.Mutex
-	endpoints map[string]*endpointCalls
-}
-
-// endpointCalls are the attempts that are under way at one incarnation of an endpoint.
-type endpointCalls struct {
-	target Target
-	calls  map[*call]struct{}
-	// began is when the first of them began, or when the node was last known to have stood still.
-	began time.Time
-	// lastActivity is when the endpoint last sent anything on one of them.
-	lastActivity *activity
-	// brokeAt is when an attempt there last broke, idleSince when the last one ended.
-	brokeAt   time.Time
+	endpoints map[string]*endpointAttempts
+}
+
+// endpointAttempts holds the attempts in flight at one incarnation of an endpoint.
+type endpointAttempts struct {
+	target   Target
+	attempts map[*attempt]struct{}
+	// watchedSince is when the first of these attempts began, or when this process last resumed after a pause.
+	watchedSince time.Time
+	// lastActivity is when the endpoint last sent data on any of them.
+	lastActivity *activityTime
+	// lastBreak is when an attempt here last broke off, idleSince when the last one ended.
+	lastBreak time.Time
 	idleSince time.Time
-	// checked is when its silence was last looked into, failedAt when it was last found to have failed.
-	checked  time.Time
-	failedAt time.Time
+	// lastCheck is when the endpoint's silence was last investigated, failedAt when it was last found to have failed.
+	lastCheck time.Time
+	failedAt  time.Time
 }
 
-// hasFailed reports whether the endpoint was found to have failed a short while ago.
-func (e *endpointCalls) hasFailed(now time.Time) bool {
-	return !e.failedAt.IsZero() && now.Sub(e.failedAt) < failedFor
+// recentlyFailed reports whether the endpoint was found to have failed within failedDuration.
+func (e *endpointAttempts) recentlyFailed(now time.Time) bool {
+	return !e.failedAt.IsZero() && now.Sub(e.failedAt) < failedDuration
 }
 
 const (
-	// aliveWithin is how old an endpoint's last activity may be for it to count as alive.
-	aliveWithin = 2 * time.Second
-	// idleKept is how long an endpoint without attempts is remembered.
-	idleKept = aliveWithin + time.Second
+	// aliveWindow is the maximum age of an endpoint's last activity for it to count as alive.
+	aliveWindow = 2 * time.Second
+	// idleRetention is how long an endpoint without attempts is kept.
+	idleRetention = aliveWindow + time.Second
 )
 
-// wasAlive reports whether the last that was known of an endpoint at a time is that it answered, not long ago.
-func (e *endpointCalls) wasAlive(now time.Time) bool {
-	at := e.lastActivity.at()
-	return now.Sub(at) < aliveWithin && !e.brokeAt.After(at)
+// wasAlive reports whether the endpoint was active within aliveWindow and no attempt there has broken off since.
+func (e *endpointAttempts) wasAlive(now time.Time) bool {
+	at := e.lastActivity.load()
+	return now.Sub(at) < aliveWindow && !e.lastBreak.After(at)
 }
 
-// silentSince returns since when nothing has come from the endpoint.
-func (e *endpointCalls) silentSince() time.Time {
-	if at := e.lastActivity.at(); at.After(e.began) {
+// silentSince returns the time since which the endpoint has sent nothing.
+func (e *endpointAttempts) silentSince() time.Time {
+	if at := e.lastActivity.load(); at.After(e.watchedSince) {
 		return at
 	}
-	return e.began
+	return e.watchedSince
 }
 
-// activity is when an endpoint last sent anything; the zero time before that.
-type activity struct {
-	nanoseconds atomic.Int64
+// activityTime is the time of an endpoint's last activity. The zero value means that there was none.
+type activityTime struct {
+	sinceEpoch atomic.Int64
 }
 
-// epoch is what the times of activity are counted from.
-var epoch = time.Now()
+// activityEpoch is the reference time of activityTime.
+var activityEpoch = time.Now()
 
-// note takes that the endpoint sent something.
-func (a *activity) note(now time.Time) { a.nanoseconds.Store(int64(now.Sub(epoch))) }
+// record records that the endpoint sent data.
+func (a *activityTime) record(now time.Time) { a.sinceEpoch.Store(int64(now.Sub(activityEpoch))) }
 
-// at returns the time of the last one.
-func (a *activity) at() time.Time {
-	nanoseconds := a.nanoseconds.Load()
-	if nanoseconds == 0 {
+// load returns the time of the last activity.
+func (a *activityTime) load() time.Time {
+	elapsed := a.sinceEpoch.Load()
+	if elapsed == 0 {
 		return time.Time{}
 	}
-	return epoch.Add(time.Duration(nanoseconds))
+	return activityEpoch.Add(time.Duration(elapsed))
 }
 
-// silence is an endpoint that has sent nothing for a while on any of the attempts that are under way there.
-type silence struct {
+// silentEndpoint is an endpoint that has sent nothing for some time on any attempt in flight.
+type silentEndpoint struct {
 	target Target
-	// since is when the endpoint last sent anything.
+	// since is the start of the silence.
 	since time.Time
-	// streaming means that an answer had begun.
+	// streaming means that at least one response had begun to stream.
 	streaming bool
 }
 
-func newInFlight() *inFlight { return &inFlight{endpoints: make(map[string]*endpointCalls)} }
+func newInFlightAttempts() *inFlightAttempts {
+	return &inFlightAttempts{endpoints: make(map[string]*endpointAttempts)}
+}
 
-// begin adds an attempt and returns where it notes activity.
-func (f *inFlight) begin(c *call) *activity {
+// add adds an attempt and returns where to record the endpoint's activity.
+func (f *inFlightAttempts) add(a *attempt) *activityTime {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	e, ok := f.endpoints[c.target.Incarnation]
+	e, ok := f.endpoints[a.target.Incarnation]
 	if !ok {
-		e = &endpointCalls{target: c.target, calls: make(map[*call]struct{}), began: c.began, lastActivity: &activity{}}
-		f.endpoints[c.target.Incarnation] = e
+		e = &endpointAttempts{target: a.target, attempts: make(map[*attempt]struct{}), watchedSince: a.startedAt, lastActivity: &activityTime{}}
+		f.endpoints[a.target.Incarnation] = e
 	}
-	if len(e.calls) == 0 {
-		e.began = c.began
+	if len(e.attempts) == 0 {
+		e.watchedSince = a.startedAt
 	}
-	e.calls[c] = struct{}{}
-	c.endpointWasAlive = e.wasAlive(c.began)
+	e.attempts[a] = struct{}{}
+	a.endpointWasAlive = e.wasAlive(a.startedAt)
 	return e.lastActivity
 }
 
-// end removes an attempt.
-func (f *inFlight) end(c *call) {
+func (f *inFlightAttempts) remove(a *attempt) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	e, ok := f.endpoints[c.target.Incarnation]
+	e, ok := f.endpoints[a.target.Incarnation]
 	if !ok {
 		return
 	}
-	delete(e.calls, c)
+	delete(e.attempts, a)
 	e.idleSince = time.Now()
 }
 
-// broke notes that an attempt at an incarnation broke.
-func (f *inFlight) broke(incarnation string, at time.Time) {
+// recordBreak records that an attempt at an incarnation broke off.
+func (f *inFlightAttempts) recordBreak(incarnation string, at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if e, ok := f.endpoints[incarnation]; ok {
-		e.brokeAt = at
+		e.lastBreak = at
 	}
 }
 
-// sweep forgets the endpoints that have had no attempts for a while.
-func (f *inFlight) sweep(now time.Time) {
+// sweep removes endpoints that have had no attempts for idleRetention.
+func (f *inFlightAttempts) sweep(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for incarnation, e := range f.endpoints {
-		if len(e.calls) == 0 && now.Sub(e.idleSince) >= idleKept {
+		if len(e.attempts) == 0 && now.Sub(e.idleSince) >= idleRetention {
 			delete(f.endpoints, incarnation)
 		}
 	}
 }
 
-// at returns the attempts that are under way at an incarnation, and its last activity.
-func (f *inFlight) at(incarnation string) (calls []*call, lastActivity time.Time) {
+// attemptsAt returns the attempts in flight at an incarnation, and the time of its last activity.
+func (f *inFlightAttempts) attemptsAt(incarnation string) (attempts []*attempt, lastActivity time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e, ok := f.endpoints[incarnation]
 	if !ok {
 		return nil, time.Time{}
 	}
-	for c := range e.calls {
-		calls = append(calls, c)
+	for a := range e.attempts {
+		attempts = append(attempts, a)
 	}
-	return calls, e.lastActivity.at()
+	return attempts, e.lastActivity.load()
 }
 
-// targets returns the incarnations at which attempts are under way.
-func (f *inFlight) targets() []Target {
+// activeTargets returns the endpoints at which attempts are in flight.
+func (f *inFlightAttempts) activeTargets() []Target {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	targets := make([]Target, 0, len(f.endpoints))
 	for _, e := range f.endpoints {
-		if len(e.calls) > 0 {
+		if len(e.attempts) > 0 {
 			targets = append(targets, e.target)
 		}
 	}
 	return targets
 }
 
-// takeSilent returns the endpoints that have been silent for a time and were not looked into within the check interval.
-func (f *inFlight) takeSilent(now time.Time) []silence {
+// takeSilent returns the endpoints that have been silent long enough and were not checked within silenceCheckInterval.
+func (f *inFlightAttempts) takeSilent(now time.Time) []silentEndpoint {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var silent []silence
+	var silent []silentEndpoint
 	for _, e := range f.endpoints {
-		s := silence{target: e.target, since: e.silentSince()}
-		if len(e.calls) == 0 || e.hasFailed(now) || now.Sub(s.since) < silentAfter || now.Sub(e.checked) < silenceCheckEvery {
+		s := silentEndpoint{target: e.target, since: e.silentSince()}
+		if len(e.attempts) == 0 || e.recentlyFailed(now) || now.Sub(s.since) < streamSilenceThreshold || now.Sub(e.lastCheck) < silenceCheckInterval {
 			continue
 		}
-		for c := range e.calls {
-			s.streaming = s.streaming || c.answering.Load()
+		for a := range e.attempts {
+			s.streaming = s.streaming || a.streaming.Load()
 		}
-		if !s.streaming && now.Sub(s.since) < unansweredAfter {
+		if !s.streaming && now.Sub(s.since) < responseSilenceThreshold {
 			continue
 		}
-		e.checked = now
+		e.lastCheck = now
 		silent = append(silent, s)
 	}
 	return silent
 }
 
-// takeAlive returns when endpoints were last active, of those that were since a time.
-func (f *inFlight) takeAlive(since time.Time) map[string]time.Time {
+// activeSince returns the last activity, by incarnation, of the single processes that were active after the given time.
+func (f *inFlightAttempts) activeSince(since time.Time) map[string]time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	alive := make(map[string]time.Time)
 	for incarnation, e := range f.endpoints {
-		if at := e.lastActivity.at(); e.target.Unique && at.After(since) {
+		if at := e.lastActivity.load(); e.target.Unique && at.After(since) {
 			alive[incarnation] = at
 		}
 	}
 	return alive
 }
 
-// markFailed notes that an endpoint failed, and reports whether that is new and the endpoint has been silent since a time.
-func (f *inFlight) markFailed(incarnation string, since time.Time) bool {
+// markFailed marks an endpoint as failed. It returns false if the endpoint is not known, is already marked, or was
+// active after the given time.
+func (f *inFlightAttempts) markFailed(incarnation string, since time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
 	e, ok := f.endpoints[incarnation]
-	if !ok || e.hasFailed(now) || e.silentSince().After(since) {
+	if !ok || e.recentlyFailed(now) || e.silentSince().After(since) {
 		return false
 	}
 	e.failedAt = now
 	return true
 }
 
-// resetSilence takes that the node itself stood still up to a time, so that nothing was read meanwhile.
-func (f *inFlight) resetSilence(now time.Time) {
+// resetSilence restarts the measurement of silence after a pause of this process, during which nothing was read.
+func (f *inFlightAttempts) resetSilence(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, e := range f.endpoints {
-		e.began = now
+		e.watchedSince = now
 	}
 }
--- a/chiveforward/pools.go
+++ b/chiveforward/pools.go
@@ -19,42 +19,44 @@
 // PoolsName is the name under which the pools register.
 const PoolsName = "pools"
 
-// Pools are the pools of the table in force, each with the endpoints of the directory; they hand out places by chiveplace.
+// Pools holds the pools of the current routing table with their endpoints from the directory. It selects endpoints by
+// means of chiveplace.
 type Pools struct {
-	domain string
-	asker  Asker
-	mu     sync.Mutex
-	pools  map[string]*chiveplace.Pool
-	nodes  int
-	// evacuated are the failure domains whose endpoints get nothing.
+	failureDomain string
+	remote        Asker
+	mu            sync.Mutex
+	pools         map[string]*chiveplace.Pool
+	nodes         int
+	// evacuated are the failure domains whose endpoints get no requests.
 	evacuated []string
 	// regions is the region of each failure domain.
 	regions chiveresidency.Map
 	table   *chivetable.Table
-	// changed has room for one: whoever receives looks at all pools.
+	// changed has a buffer of one: a receiver collects the changes of all pools.
 	changed chan struct{}
 }
 
-// NewPools returns no pools, seen from a failure domain.
-func NewPools(domain string) *Pools {
-	return &Pools{domain: domain, pools: make(map[string]*chiveplace.Pool), changed: make(chan struct{}, 1)}
+// NewPools returns an empty Pools for a node in a failure domain.
+func NewPools(failureDomain string) *Pools {
+	return &Pools{failureDomain: failureDomain, pools: make(map[string]*chiveplace.Pool), changed: make(chan struct{}, 1)}
 }
 
-// Asker places prompts with the help of other nodes.
+// Asker selects endpoints for prompts with the help of other nodes.
 type Asker interface {
-	// Place gets a place, or fails with chivegrant.ErrAlone when the node has to decide alone.
-	Place(ctx context.Context, pool *chiveplace.Pool, request *chiverequest.Request, limits chiveplace.Ask) (*chiveplace.Place, error)
-	// Home returns the ids of the engines to which other nodes would send a request; empty where they choose among all engines.
-	Home(request *chiverequest.Request, limits chiveplace.Ask) []string
+	// Place selects an endpoint. It returns chivegrant.ErrAlone if the node has to decide by itself.
+	Place(ctx context.Context, pool *chiveplace.Pool, request *chiverequest.Request, ask chiveplace.Ask) (*chiveplace.Place, error)
+	// Home returns the IDs of the engines to which other nodes would send the request; empty if they consider all
+	// engines.
+	Home(request *chiverequest.Request, ask chiveplace.Ask) []string
 }
 
-// SetAsker takes who is asked for places for prompts; it is called before the first request.
-func (p *Pools) SetAsker(asker Asker) { p.asker = asker }
+// SetAsker sets the Asker for requests with prompts; it must be called before the first request.
+func (p *Pools) SetAsker(remote Asker) { p.remote = remote }
 
-// SetRegions takes the region of each failure domain; it is called before the first request.
+// SetRegions sets the region of each failure domain; it must be called before the first request.
 func (p *Pools) SetRegions(regions chiveresidency.Map) { p.regions = regions }
 
-// SetTable takes a configuration that came into force.
+// SetTable applies a routing table.
 func (p *Pools) SetTable(table *chivetable.Table) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -65,7 +67,7 @@
 	}
 }
 
-// SetEvacuated takes the failure domains whose endpoints get nothing.
+// SetEvacuated sets the failure domains whose endpoints get no requests.
 func (p *Pools) SetEvacuated(domains []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -75,7 +77,7 @@
 	}
 }
 
-// SetNodes takes how many nodes there are.
+// SetNodes sets the number of nodes.
 func (p *Pools) SetNodes(nodes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -85,7 +87,7 @@
 	}
 }
 
-// ApplyEndpoints takes a change of the directory: only the pools that it concerns do something.
+// ApplyEndpoints applies a directory change to the pools that it affects.
 func (p *Pools) ApplyEndpoints(diff chivedirectory.Diff) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,30 +97,30 @@
 			if name == e.Pool || !other.Has(e.ID) {
 				continue
 			}
-			concerned := byPool[name]
-			concerned.Gone = append(concerned.Gone, e)
-			byPool[name] = concerned
+			poolDiff := byPool[name]
+			poolDiff.Gone = append(poolDiff.Gone, e)
+			byPool[name] = poolDiff
 		}
-		concerned := byPool[e.Pool]
-		concerned.Changed = append(concerned.Changed, e)
-		byPool[e.Pool] = concerned
+		poolDiff := byPool[e.Pool]
+		poolDiff.Changed = append(poolDiff.Changed, e)
+		byPool[e.Pool] = poolDiff
 	}
 	for _, e := range diff.Gone {
-		concerned := byPool[e.Pool]
-		concerned.Gone = append(concerned.Gone, e)
-		byPool[e.Pool] = concerned
+		poolDiff := byPool[e.Pool]
+		poolDiff.Gone = append(poolDiff.Gone, e)
+		byPool[e.Pool] = poolDiff
 	}
-	for name, concerned := range byPool {
-		p.pool(name).ApplyEndpoints(concerned)
+	for name, poolDiff := range byPool {
+		p.pool(name).ApplyEndpoints(poolDiff)
 	}
 }
 
-// pool returns a pool by name, made when it is new; the caller holds the lock.
+// pool returns the pool with a name and creates it if necessary; the caller holds the lock.
 func (p *Pools) pool(name string) *chiveplace.Pool {
 	pool, ok := p.pools[name]
 	if !ok {
-		pool = chiveplace.NewPool(p.domain)
-		pool.OnChange(p.noteChange)
+		pool = chiveplace.NewPool(p.failureDomain)
+		pool.OnChange(p.signalChange)
 		pool.SetNodes(p.nodes)
 		pool.SetEvacuated(p.evacuated)
 		p.pools[name] = pool
@@ -126,70 +128,70 @@
 	return pool
 }
 
-// Pool returns the pool of a name, or nil.
+// Pool returns the pool with a name, or nil.
 func (p *Pools) Pool(name string) *chiveplace.Pool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.pools[name]
 }
 
-// Changed receives after a change of this node's requests that the other nodes should know of.
+// Changed receives a value after this node's load changed in a way that other nodes should know.
 func (p *Pools) Changed() <-chan struct{} { return p.changed }
 
-func (p *Pools) noteChange() {
+func (p *Pools) signalChange() {
 	select {
 	case p.changed <- struct{}{}:
 	default:
 	}
 }
 
-// Collect returns what the other nodes should know of this node's requests: what changed since the last call, or everything.
+// Collect returns a report of this node's load for the other nodes: the changes since the last call, or everything.
 func (p *Pools) Collect(all bool) chiveplace.Report {
-	news := chiveplace.Report{All: all}
-	for _, each := range p.everyPool() {
-		each.Collect(&news, all)
+	report := chiveplace.Report{All: all}
+	for _, pool := range p.allPools() {
+		pool.Collect(&report, all)
 	}
-	return news
+	return report
 }
 
-// Hear takes what another node told of its requests.
-func (p *Pools) Hear(node string, news chiveplace.Report) {
-	for _, each := range p.everyPool() {
-		each.Hear(time.Now(), node, &news)
+// Hear applies another node's report of its load.
+func (p *Pools) Hear(node string, report chiveplace.Report) {
+	for _, pool := range p.allPools() {
+		pool.Hear(time.Now(), node, &report)
 	}
 }
 
-// Release drops what other nodes have on endpoints that this node does not keep.
+// Release drops other nodes' load on endpoints that this node does not keep track of.
 func (p *Pools) Release(kept func(endpoint string) bool) {
-	for _, each := range p.everyPool() {
-		each.Release(kept)
+	for _, pool := range p.allPools() {
+		pool.Release(kept)
 	}
 }
 
-// Forget drops what is known of the requests of nodes that are not alive.
+// Forget drops the load of nodes that are not alive.
 func (p *Pools) Forget(alive map[string]bool) {
-	for _, each := range p.everyPool() {
-		each.Forget(alive)
+	for _, pool := range p.allPools() {
+		pool.Forget(alive)
 	}
 }
 
-func (p *Pools) everyPool() []*chiveplace.Pool {
+func (p *Pools) allPools() []*chiveplace.Pool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	pools := make([]*chiveplace.Pool, 0, len(p.pools))
-	for _, each := range p.pools {
-		pools = append(pools, each)
+	for _, pool := range p.pools {
+		pools = append(pools, pool)
 	}
 	return pools
 }
 
-// Start does nothing: places are taken on the requests' goroutines.
+// Start does nothing: endpoints are selected on the requests' goroutines.
 func (p *Pools) Start(context.Context) error { return nil }
 
 // Stop does nothing.
 func (p *Pools) Stop(context.Context) error { return nil }
 
-// Dump returns what is known of each endpoint, by pool.
+// Dump returns the state of each endpoint, by pool.
 func (p *Pools) Dump() any {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -201,31 +203,32 @@
 }
 
 const (
-	// queuePoll is how often a waiting request looks for a place.
-	queuePoll = 10 * time.Millisecond
-	// askPoll is how often it asks other nodes anew.
-	askPoll = 50 * time.Millisecond
-	// retryWhenReconfigured is when to come back with a request that only another configuration would let run.
-	retryWhenReconfigured = 10 * time.Second
+	// localPollInterval is how often a waiting request tries again to get an endpoint.
+	localPollInterval = 10 * time.Millisecond
+	// remotePollInterval is the same for requests that ask other nodes.
+	remotePollInterval = 50 * time.Millisecond
+	// noRegionRetryAfter is when to retry a request that no region may serve until the configuration changes.
+	noRegionRetryAfter = 10 * time.Second
 )
 
-// choose asks for a place where others know more of the engines than this node, and decides alone where nobody answers.
+// choose asks other nodes, which may know more about the engines, to select an endpoint for a prompt. If they cannot,
+// and for requests without a prompt, this node selects one by itself.
 func (p *Pools) choose(
 	ctx context.Context, pool *chiveplace.Pool, request *chiverequest.Request, ask chiveplace.Ask,
 ) (place *chiveplace.Place, asked bool, err error) {
-	if p.asker != nil && request.Prompt != nil {
-		place, err = p.asker.Place(ctx, pool, request, ask)
+	if p.remote != nil && request.Prompt != nil {
+		place, err = p.remote.Place(ctx, pool, request, ask)
 		if !errors.Is(err, chivegrant.ErrAlone) {
 			return place, true, err
 		}
-		ask.Home = p.asker.Home(request, ask)
+		ask.Home = p.remote.Home(request, ask)
 	}
 	place, err = pool.Take(time.Now(), ask)
 	return place, false, err
 }
 
-// residencyOf returns where a request may be served now: a configuration that takes a region away also holds for requests that wait or
-// are repeated.
+// residencyOf returns the regions in which a request may be served now. A configuration change that removes a region
+// also applies to requests that are waiting or being retried.
 func (p *Pools) residencyOf(request *chiverequest.Request) chiveresidency.Policy {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -239,58 +242,58 @@
 	return request.Residency.Intersect(current)
 }
 
-// Take waits a short while for a place.
+// Take waits a limited time for an endpoint that can take the request.
 func (p *Pools) Take(ctx context.Context, request *chiverequest.Request, exclude []string) (Place, error) {
 	pool := p.Pool(request.Pool)
 	if pool == nil {
 		return nil, &chiveplace.RefusedError{Reason: "the pool has no endpoints", RetryAfter: time.Second}
 	}
 	ask := chiveplace.Ask{Prompt: request.Prompt, Exclude: exclude}
-	until := time.Now().Add(chiveplace.Patience(request.Route.Target))
+	deadline := time.Now().Add(chiveplace.Patience(request.Route.Target))
 	for {
 		residency := p.residencyOf(request)
 		if residency.AllowsNone() {
-			return nil, &chiveplace.RefusedError{Reason: "the regions of the route and of the team have none in common", RetryAfter: retryWhenReconfigured}
+			return nil, &chiveplace.RefusedError{Reason: "the regions of the route and of the team have none in common", RetryAfter: noRegionRetryAfter}
 		}
 		ask.Domains = p.regions.Domains(residency)
 		place, asked, err := p.choose(ctx, pool, request, ask)
 		if err == nil {
-			return pooled{place}, nil
+			return pooledPlace{place}, nil
 		}
-		if time.Now().After(until) {
+		if time.Now().After(deadline) {
 			return nil, err
 		}
-		poll := queuePoll
+		interval := localPollInterval
 		if asked {
-			poll = askPoll
+			interval = remotePollInterval
 		}
 		select {
-		case <-time.After(poll):
+		case <-time.After(interval):
 		case <-ctx.Done():
 			return nil, err
 		}
 	}
 }
 
-// pooled is a place of a pool as the forwarder sees it.
-type pooled struct {
+// pooledPlace implements Place for an endpoint of a pool.
+type pooledPlace struct {
 	*chiveplace.Place
 }
 
 // Target returns the endpoint.
-func (p pooled) Target() Target {
+func (p pooledPlace) Target() Target {
 	e := p.Endpoint()
 	return Target{ID: e.ID, Incarnation: e.Incarnation().Key(), Unique: true, Address: e.Address, FailureDomain: e.FailureDomain}
 }
 
-// Preempted never happens: engines preempt by rank themselves.
-func (p pooled) Preempted() <-chan struct{} { return nil }
+// Preempted returns nil, because engines preempt requests by rank themselves.
+func (p pooledPlace) Preempted() <-chan struct{} { return nil }
 
-// Why returns the reason, the cost and the next best endpoint.
-func (p pooled) Why() []slog.Attr {
+// Why returns the reason for the selection, the cost, and the next best endpoint.
+func (p pooledPlace) Why() []slog.Attr {
 	loss, nextBest, nextLoss := p.Loss()
 	attributes := []slog.Attr{
-		slog.String("because", p.Reason()), slog.Int("candidates", p.Candidates()), slog.Float64("cost", rounded(loss)),
+		slog.String("because", p.Reason()), slog.Int("candidates", p.Candidates()), slog.Float64("cost", roundForLog(loss)),
 		slog.Int64("tokens_to_read", p.Reads()), slog.Int64("tokens_to_fetch", p.Fetches()), slog.Int64("tokens_again", p.Again()), slog.Int64("tokens_ahead", p.Ahead()),
 		slog.Int64("expected_ms", p.Expected().Milliseconds()),
 	}
@@ -298,12 +301,12 @@
 		attributes = append(attributes, slog.String("owner", owner))
 	}
 	if nextBest != "" {
-		attributes = append(attributes, slog.String("next_best", nextBest), slog.Float64("next_cost", rounded(nextLoss)))
+		attributes = append(attributes, slog.String("next_best", nextBest), slog.Float64("next_cost", roundForLog(nextLoss)))
 	}
 	return attributes
 }
 
-// rounded keeps log lines short.
-func rounded(cost float64) float64 { return math.Round(cost*roundTo) / roundTo }
+// roundForLog rounds a value to three decimal places to keep log lines short.
+func roundForLog(cost float64) float64 { return math.Round(cost*roundingFactor) / roundingFactor }
 
-const roundTo = 1000
+const roundingFactor = 1000
--- a/chiveforward/quarantine.go
+++ b/chiveforward/quarantine.go
@@ -11,33 +11,34 @@
 	"chivedrift/chiverequest"
 )
 
-// Quarantine keeps requests away from endpoints that crash under them.
+// Quarantine blocks requests that crash endpoints.
 type Quarantine interface {
-	// Admit returns what may be done with a request that was accepted.
+	// Admit decides whether an accepted request may be sent.
 	Admit(now time.Time, request *chiverequest.Request) chivequarantine.Admission
-	// Quarantined reports whether a request that is under way is quarantined by now.
+	// Quarantined reports whether a request in progress has been quarantined.
 	Quarantined(now time.Time, request *chiverequest.Request) chivequarantine.Admission
-	// Crashed takes that an endpoint failed while it had the request.
+	// Crashed records that an endpoint failed while it processed the request.
 	Crashed(now time.Time, request *chiverequest.Request, failure chivehealth.Failure)
-	// Answered takes that an endpoint answered the request completely.
+	// Answered records that an endpoint answered the request completely.
 	Answered(now time.Time, request *chiverequest.Request)
-	// Alive takes that an endpoint, by its incarnation, answered a request that was sent to it at a time.
+	// Alive records that an endpoint, identified by its incarnation, responded to a request that was sent at the given
+	// time.
 	Alive(now time.Time, endpoint string, sent time.Time)
 	// Failed broadcasts the failure of an endpoint that other nodes may not notice.
 	Failed(now time.Time, failure chivehealth.Failure)
-	// Watch has a function called when the request is quarantined, until stop is.
-	Watch(request *chiverequest.Request, quarantined func()) (stop func())
+	// Watch calls a function when the request is quarantined, until stop is called.
+	Watch(request *chiverequest.Request, onQuarantine func()) (stop func())
 }
 
 // noQuarantine quarantines nothing.
 type noQuarantine struct{}
 
-// Admit lets every request pass.
+// Admit admits every request.
 func (noQuarantine) Admit(time.Time, *chiverequest.Request) chivequarantine.Admission {
 	return chivequarantine.Admission{}
 }
 
-// Quarantined lets every request pass.
+// Quarantined admits every request.
 func (noQuarantine) Quarantined(time.Time, *chiverequest.Request) chivequarantine.Admission {
 	return chivequarantine.Admission{}
 }
@@ -54,15 +55,16 @@
 // Failed does nothing.
 func (noQuarantine) Failed(time.Time, chivehealth.Failure) {}
 
-// Watch never calls.
+// Watch never calls the function.
 func (noQuarantine) Watch(*chiverequest.Request, func()) (stop func()) { return func() {} }
 
-// errQuarantined is the cause of an attempt that was cancelled since its request is quarantined.
-var errQuarantined = errors.New("engines crash under the request")
+// errQuarantined is the cause of an attempt that was cancelled because its request was quarantined.
+var errQuarantined = errors.New("request was quarantined because engines crashed while running it")
 
-// isQuarantined ends a request that is quarantined before its first attempt; one that is a probe gets a single attempt.
-func (r *run) isQuarantined(ctx context.Context) bool {
-	admission := r.f.o.Quarantine.Admit(time.Now(), r.request)
+// refuseIfQuarantined ends a request that was quarantined before its first attempt. A probe is admitted with a single
+// attempt.
+func (r *requestState) refuseIfQuarantined(ctx context.Context) bool {
+	admission := r.forwarder.options.Quarantine.Admit(time.Now(), r.request)
 	r.probe = admission.Probe
 	if admission.Quarantined {
 		r.giveUpQuarantined(ctx, admission)
@@ -70,17 +72,19 @@
 	return admission.Quarantined
 }
 
-// giveUpQuarantined answers at once: what was sent to no endpoint did not run and will not, of anything else that is not known.
-func (r *run) giveUpQuarantined(ctx context.Context, admission chivequarantine.Admission) {
+// giveUpQuarantined ends a quarantined request immediately. A request that reached no endpoint is NotRun; otherwise its
+// outcome is unknown.
+func (r *requestState) giveUpQuarantined(ctx context.Context, admission chivequarantine.Admission) {
 	r.giveUp(ctx, CodeQuarantined, "engines crashed under this request; it is quarantined", admission.RetryAfter)
 	if r.result.Status == http.StatusBadGateway {
 		r.result.RetryAfter = admission.RetryAfter
 	}
 }
 
-// quarantinedMeanwhile ends a request that was quarantined while it was under way. Its next attempt would crash the next endpoint.
-func (r *run) quarantinedMeanwhile(ctx context.Context) bool {
-	admission := r.f.o.Quarantine.Quarantined(time.Now(), r.request)
+// giveUpIfQuarantined ends a request that was quarantined while in progress. A further attempt could crash another
+// endpoint.
+func (r *requestState) giveUpIfQuarantined(ctx context.Context) bool {
+	admission := r.forwarder.options.Quarantine.Quarantined(time.Now(), r.request)
 	if !admission.Quarantined || r.probe {
 		return false
 	}
--- a/chiveforward/request.go
+++ b/chiveforward/request.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// Sink takes an answer on its way to the caller; its calls come from one goroutine.
+// Sink receives the response for the caller. Its methods are called from one goroutine.
 type Sink interface {
-	// Start passes on the status and the header, once.
+	// Start passes on the status and the header; it is called once.
 	Start(status int, header http.Header)
-	// Write passes on a piece of the body; flush sends it at once.
+	// Write passes on a piece of the body; flush requests that it is sent immediately.
 	Write(data []byte, flush bool) error
 }
 
-// Outcome is what is known of a request in the end.
+// Outcome tells what is known about the execution of a request once it has ended.
 type Outcome string
 
 const (
-	// Completed requests were answered by an endpoint, whole.
+	// Completed requests received a complete response from an endpoint.
 	Completed Outcome = "completed"
 	// NotRun requests certainly did not run and never will.
 	NotRun Outcome = "not-run"
-	// Failed requests were answered by an endpoint with an error of its own.
+	// Failed requests received an endpoint's own error as the response.
 	Failed Outcome = "failed"
 	// Unknown requests may have run.
 	Unknown Outcome = "unknown"
 )
 
-// Codes tell why a request was not completed.
+// Codes give the reason why a request was not completed.
 const (
 	CodeNoPlace     = "no_place"
 	CodeDeadline    = "deadline_passed"
@@ -37,40 +37,42 @@
 	CodeQuarantined = "endpoints_ended"
 )
 
-// Try is one attempt that was made.
+// Try is one attempt of a request.
 type Try struct {
 	Endpoint string
-	// Ended is the word for how it ended, as logs show it.
+	// Ended is the outcome of the attempt as it is logged.
 	Ended string
-	// Touched means that a byte of it may have reached the endpoint.
+	// Touched means that a byte of the request may have reached the endpoint.
 	Touched bool
-	// Status is that of the endpoint's answer; zero without one.
+	// Status is the status of the endpoint's response; zero if there was none.
 	Status int
 	Err    error
 }
 
-// Result is how a request ended.
+// Result is the final state of a request.
 type Result struct {
 	Outcome Outcome
 	Code    string
 	Message string
-	// RetryAfter is when the caller should come back; zero where that makes no sense.
+	// RetryAfter is when the caller should retry; zero if it should not.
 	RetryAfter time.Duration
-	// Started means that a part of the answer has gone to the caller: all that is left is to break it off.
+	// Started means that part of the response was already passed to the caller, so that an error can only be signalled
+	// by aborting the response.
 	Started bool
 	Status  int
 	// Tries are the attempts that were made, in order.
 	Tries []Try
-	// First is the time from the arrival to the first piece of the answer.
+	// First is the time from the arrival of the request to the start of the response.
 	First  time.Duration
 	Events int
-	// Expected is the predicted time to the first event of a request that found no place; 0 where no endpoint had room.
+	// Expected is the predicted time to the first event of a request for which no endpoint was found; 0 if no endpoint
+	// had capacity.
 	Expected time.Duration
 	// Pause is the longest wait for an event after the first one.
 	Pause time.Duration
 }
 
-// Last returns the endpoint of the last attempt; empty when there was none.
+// Last returns the endpoint of the last attempt; empty if there was none.
 func (r *Result) Last() string {
 	if len(r.Tries) == 0 {
 		return ""
--- a/chiveforward/run.go
+++ b/chiveforward/run.go
@@ -13,92 +13,96 @@
 	"chivedrift/chivetable"
 )
 
-// run is the state of one request over its attempts.
-type run struct {
-	f       *Forwarder
-	request *chiverequest.Request
-	sink    Sink
-	result  Result
+// requestState is the state of one request across its attempts.
+type requestState struct {
+	forwarder *Forwarder
+	request   *chiverequest.Request
+	sink      Sink
+	result    Result
 
-	watch stopwatch
-	// last is the last event that the caller has.
-	last string
-	// touched means that a byte of some attempt may have reached an endpoint that did not prove that it ran nothing.
-	touched bool
-	// sent counts the attempts that may have run, refusals those that certainly did not.
-	sent     int
-	refusals int
-	exclude  []string
+	suspension suspensionTimer
+	// lastEventID is the ID of the last event that was passed to the caller.
+	lastEventID string
+	// mayHaveRun means that some attempt may have reached an endpoint that did not confirm that the request was not run.
+	mayHaveRun bool
+	// attemptsUsed counts the attempts that broke off or returned an endpoint's error, which Route.Attempts limits.
+	// attemptsNotRun counts the attempts that certainly did not run.
+	attemptsUsed   int
+	attemptsNotRun int
+	exclude        []string
 	// events counts the events of all attempts.
 	events int
-	// started means that an endpoint has answered an attempt of the request and OnStart was called.
-	started bool
-	// probe means that the request is sent although engines crashed under it: it gets one attempt.
+	// startReported means that an endpoint has responded to an attempt and OnStart was called.
+	startReported bool
+	// probe means that the request is a quarantine probe: although engines crashed while running it, it gets one
+	// attempt.
 	probe bool
-	// spare is an endpoint's error that is passed on when no other endpoint does better.
-	spare *whole
+	// errorResponse is an endpoint's error response, which is forwarded if no other endpoint gives a better one.
+	errorResponse *bufferedResponse
 }
 
-// attempt makes one attempt and reports whether the request has its outcome.
-func (r *run) attempt(ctx context.Context) bool {
-	place, err := r.f.o.Places.Take(ctx, r.request, r.exclude)
+// runAttempt makes one attempt and reports whether the request has ended.
+func (r *requestState) runAttempt(ctx context.Context) bool {
+	place, err := r.forwarder.options.Places.Take(ctx, r.request, r.exclude)
 	if err != nil {
-		return r.refuse(ctx, err)
+		return r.giveUpWithoutPlace(ctx, err)
 	}
-	if r.left() <= 0 {
+	if r.remainingTime() <= 0 {
 		place.Done(time.Now(), chiveplace.EndedCaller)
 		r.giveUp(ctx, CodeDeadline, "the request's time ran out while the machine was suspended", 0)
 		return true
 	}
-	if r.quarantinedMeanwhile(ctx) {
+	if r.giveUpIfQuarantined(ctx) {
 		place.Done(time.Now(), chiveplace.EndedCaller)
 		return true
 	}
-	c := &call{run: r, place: place, target: place.Target(), began: time.Now()}
-	r.logSent(ctx, c)
-	ended := c.carry(ctx)
-	passedOver := place.Done(time.Now(), endings[ended])
-	r.note(c, ended)
-	r.logEnded(ctx, c, ended, passedOver)
-	if ended == endedBroken {
-		r.f.explainBreak(ctx, c)
+	a := &attempt{state: r, place: place, target: place.Target(), startedAt: time.Now()}
+	r.logAttemptSent(ctx, a)
+	outcome := a.execute(ctx)
+	ejectedFor := place.Done(time.Now(), placeEndings[outcome])
+	r.recordAttempt(a, outcome)
+	r.logAttemptEnded(ctx, a, outcome, ejectedFor)
+	if outcome == attemptBroken {
+		r.forwarder.investigateBreak(ctx, a)
 	}
-	return r.judge(ctx, c, ended)
+	return r.handleOutcome(ctx, a, outcome)
 }
 
-// left is how long the caller still waits, also when the machine was suspended meanwhile.
-func (r *run) left() time.Duration { return time.Until(r.request.Deadline) - r.watch.suspended() }
+// remainingTime returns the time until the deadline, reduced by the time for which the machine was suspended.
+func (r *requestState) remainingTime() time.Duration {
+	return time.Until(r.request.Deadline) - r.suspension.suspended()
+}
 
-// ending tells how one attempt ended.
-type ending uint8
+// attemptOutcome is the outcome of one attempt.
+type attemptOutcome uint8
 
 const (
-	endedComplete ending = iota
-	// endedError is an answer by which the endpoint reports a failure of its own.
-	endedError
-	endedBroken
-	// endedUnreached is an attempt of which no byte left.
-	endedUnreached
-	endedRefused
-	endedElsewhere
-	// endedCaller is an attempt that was given up because the caller left or its time ran out.
-	endedCaller
-	// endedPreempted is an attempt whose place was wanted back.
-	endedPreempted
-	// endedQuarantined is an attempt that was cancelled since its request was quarantined.
-	endedQuarantined
+	attemptCompleted attemptOutcome = iota
+	// attemptEndpointError means that the endpoint responded with an error of its own.
+	attemptEndpointError
+	attemptBroken
+	// attemptUnreached means that no byte of the request was sent.
+	attemptUnreached
+	attemptRefused
+	attemptMisdirected
+	// attemptCancelled means that the caller left or the deadline passed.
+	attemptCancelled
+	// attemptPreempted means that a more urgent request needed the capacity.
+	attemptPreempted
+	// attemptQuarantined means that the attempt was cancelled because its request was quarantined.
+	attemptQuarantined
 )
 
-var endingNames = [...]string{"complete", "endpoint_error", "broken", "unreached", "refused_by_endpoint", "other_endpoint", "given_up", "preempted", "quarantined"}
+var attemptOutcomeNames = [...]string{"complete", "endpoint_error", "broken", "unreached", "refused_by_endpoint", "other_endpoint", "given_up", "preempted", "quarantined"}
 
-var endings = [...]chiveplace.Ending{
+var placeEndings = [...]chiveplace.Ending{
 	chiveplace.EndedWell, chiveplace.EndedError, chiveplace.EndedBroken, chiveplace.EndedBroken, chiveplace.EndedFull, chiveplace.EndedGone,
 	chiveplace.EndedCaller, chiveplace.EndedCaller, chiveplace.EndedCaller,
 }
 
-// refuse ends a request that found no place.
-func (r *run) refuse(ctx context.Context, err error) bool {
-	if r.passSpare() {
+// giveUpWithoutPlace ends a request for which no endpoint was found.
+func (r *requestState) giveUpWithoutPlace(ctx context.Context, err error) bool {
+	if r.forwardErrorResponse() {
 		return true
 	}
 	if ctx.Err() != nil {
@@ -115,110 +119,115 @@
 	return true
 }
 
-// judge decides from an attempt's ending whether the request is over or goes on elsewhere.
-func (r *run) judge(ctx context.Context, c *call, ended ending) bool {
-	r.exclude = append(r.exclude, c.target.Incarnation)
-	switch ended {
-	case endedComplete:
-		r.f.o.Quarantine.Answered(time.Now(), r.request)
+// handleOutcome updates the request after an attempt. It returns true if the request has ended and false if it is to be
+// retried on another endpoint.
+func (r *requestState) handleOutcome(ctx context.Context, a *attempt, outcome attemptOutcome) bool {
+	r.exclude = append(r.exclude, a.target.Incarnation)
+	switch outcome {
+	case attemptCompleted:
+		r.forwarder.options.Quarantine.Answered(time.Now(), r.request)
 		r.result.Outcome = Completed
 		return true
-	case endedQuarantined:
-		r.touched = r.touched || c.touched
-		return r.quarantinedMeanwhile(ctx) || r.afterBreak(ctx, c, ended)
-	case endedCaller:
-		r.touched = r.touched || c.touched
+	case attemptQuarantined:
+		r.mayHaveRun = r.mayHaveRun || a.mayHaveRun
+		return r.giveUpIfQuarantined(ctx) || r.retryOrGiveUp(ctx, a, outcome)
+	case attemptCancelled:
+		r.mayHaveRun = r.mayHaveRun || a.mayHaveRun
 		r.giveUp(ctx, CodeDeadline, "the request's time ran out at the endpoint", 0)
 		return true
-	case endedPreempted:
-		return r.afterPreemption(ctx, c)
-	case endedUnreached, endedElsewhere:
-		r.refusals++
-		if r.refusals <= r.f.o.Rules.Refusals && ctx.Err() == nil {
+	case attemptPreempted:
+		return r.afterPreemption(ctx, a)
+	case attemptUnreached, attemptMisdirected:
+		r.attemptsNotRun++
+		if r.attemptsNotRun <= r.forwarder.options.Rules.Refusals && ctx.Err() == nil {
 			return false
 		}
-		r.giveUp(ctx, CodeBroken, "no endpoint could be reached", retryAfterBreak)
+		r.giveUp(ctx, CodeBroken, "no endpoint could be reached", retryAfterUnreachable)
 		return true
-	case endedRefused:
+	case attemptRefused:
 		return r.afterRefusal(ctx)
-	case endedError, endedBroken:
-		r.touched = true
-		r.sent++
-		return r.afterBreak(ctx, c, ended)
+	case attemptEndpointError, attemptBroken:
+		r.mayHaveRun = true
+		r.attemptsUsed++
+		return r.retryOrGiveUp(ctx, a, outcome)
 	}
 	return true
 }
 
-// afterPreemption goes on with the rest of the answer: the place was given up for others, so that costs no repeat.
-func (r *run) afterPreemption(ctx context.Context, c *call) bool {
-	r.touched = r.touched || c.touched
+// afterPreemption retries the request, or resumes its stream, unless it may have run and must not run twice. The retry
+// is not charged to the budget, because the attempt did not fail but made room for other requests.
+func (r *requestState) afterPreemption(ctx context.Context, a *attempt) bool {
+	r.mayHaveRun = r.mayHaveRun || a.mayHaveRun
 	r.exclude = r.exclude[:len(r.exclude)-1]
-	if !c.touched || r.request.Route.Repeat != chivetable.RepeatNever {
+	if !a.mayHaveRun || r.request.Route.Repeat != chivetable.RepeatNever {
 		return false
 	}
 	r.giveUp(ctx, CodeBroken, "the attempt was given up and may not be repeated", 0)
 	return true
 }
 
-// afterRefusal goes on elsewhere while that may still help: the endpoint has said that it did not run the request.
-func (r *run) afterRefusal(ctx context.Context) bool {
-	r.refusals++
-	if r.refusals < r.f.o.Rules.Refusals && ctx.Err() == nil && (!r.f.o.Rules.RefusalsCost || r.spend(ctx)) {
+// afterRefusal retries the request within the limit on refusals. The endpoint has stated that it did not run the
+// request, so running it elsewhere is safe.
+func (r *requestState) afterRefusal(ctx context.Context) bool {
+	r.attemptsNotRun++
+	if r.attemptsNotRun < r.forwarder.options.Rules.Refusals && ctx.Err() == nil && (!r.forwarder.options.Rules.RefusalsCost || r.spendRetry(ctx)) {
 		return false
 	}
-	if r.passSpare() {
+	if r.forwardErrorResponse() {
 		return true
 	}
 	r.giveUp(ctx, CodeRefused, "the endpoints have no room", retryAfterRefusal)
 	return true
 }
 
-// afterBreak goes on elsewhere when the request may run again, its attempts are not used up and the budget allows it.
-func (r *run) afterBreak(ctx context.Context, c *call, ended ending) bool {
-	if ended == endedError {
-		r.spare = c.whole
-		if !r.f.o.Rules.RetryErrors {
-			return r.passSpare()
+// retryOrGiveUp retries the request if it is repeatable, has attempts left and the budget allows it.
+func (r *requestState) retryOrGiveUp(ctx context.Context, a *attempt, outcome attemptOutcome) bool {
+	if outcome == attemptEndpointError {
+		r.errorResponse = a.buffered
+		if !r.forwarder.options.Rules.RetryErrors {
+			return r.forwardErrorResponse()
 		}
 	}
-	if r.quarantinedMeanwhile(ctx) {
+	if r.giveUpIfQuarantined(ctx) {
 		return true
 	}
-	again := !r.probe && r.request.Route.Repeat != chivetable.RepeatNever && r.sent < r.request.Route.Attempts && ctx.Err() == nil
-	if again && r.spend(ctx) {
+	mayRetry := !r.probe && r.request.Route.Repeat != chivetable.RepeatNever && r.attemptsUsed < r.request.Route.Attempts && ctx.Err() == nil
+	if mayRetry && r.spendRetry(ctx) {
 		return false
 	}
-	if r.passSpare() {
+	if r.forwardErrorResponse() {
 		return true
 	}
 	r.giveUp(ctx, CodeBroken, "the endpoint broke off", 0)
 	return true
 }
 
-// passSpare passes on an endpoint's error where nothing better came.
-func (r *run) passSpare() bool {
-	if r.spare == nil || r.result.Started {
+// forwardErrorResponse forwards an endpoint's error response if there is one and no part of a response was passed on
+// yet.
+func (r *requestState) forwardErrorResponse() bool {
+	if r.errorResponse == nil || r.result.Started {
 		return false
 	}
-	r.spare.pass(r)
+	r.errorResponse.writeTo(r)
 	r.result.Outcome = Failed
 	return true
 }
 
 const (
-	// retryAfterRefusal is about the time in which an engine ends one of its requests.
+	// retryAfterRefusal is about the time in which an engine finishes one of its requests.
 	retryAfterRefusal = 250 * time.Millisecond
-	// retryAfterBreak is about the time in which a lost endpoint's entry lapses or its successor is known.
-	retryAfterBreak = 500 * time.Millisecond
+	// retryAfterUnreachable is about the time in which the entry of a lost endpoint expires or its successor registers.
+	retryAfterUnreachable = 500 * time.Millisecond
 )
 
-// giveUp gives the outcome of a request without an answer: "not run" only when no byte of any attempt can have arrived.
-func (r *run) giveUp(ctx context.Context, code, message string, after time.Duration) {
+// giveUp sets the result of a request without a response. The outcome is NotRun only if it is certain for each attempt
+// that no byte was sent or that the endpoint did not run the request.
+func (r *requestState) giveUp(ctx context.Context, code, message string, retryAfter time.Duration) {
 	r.result.Code, r.result.Message = code, message
 	callerGone := ctx.Err() != nil && !errors.Is(context.Cause(ctx), errDeadline)
 	switch {
-	case !r.touched:
-		r.result.Outcome, r.result.Status, r.result.RetryAfter = NotRun, http.StatusServiceUnavailable, after
+	case !r.mayHaveRun:
+		r.result.Outcome, r.result.Status, r.result.RetryAfter = NotRun, http.StatusServiceUnavailable, retryAfter
 	case ctx.Err() != nil:
 		r.result.Outcome, r.result.Status = Unknown, http.StatusGatewayTimeout
 	default:
@@ -229,24 +238,24 @@
 	}
 }
 
-// noteStarted calls OnStart the first time an endpoint answers an attempt.
-func (r *run) noteStarted() {
-	if !r.started {
-		r.started = true
-		r.f.o.OnStart(r.request)
+// reportStart calls OnStart when an endpoint first responds to an attempt.
+func (r *requestState) reportStart() {
+	if !r.startReported {
+		r.startReported = true
+		r.forwarder.options.OnStart(r.request)
 	}
 }
 
-// noteEvent notes how long an event was waited for; the first one's wait is no pause.
-func (r *run) noteEvent(waited time.Duration) {
+// recordEvent records the time spent waiting for an event. The wait for the first event does not count as a pause.
+func (r *requestState) recordEvent(waited time.Duration) {
 	r.events++
 	if r.events > 1 {
 		r.result.Pause = max(r.result.Pause, waited)
 	}
 }
 
-// start passes on the head of an answer, once for all attempts.
-func (r *run) start(status int, header http.Header) {
+// startResponse passes on the status and the header, once for all attempts.
+func (r *requestState) startResponse(status int, header http.Header) {
 	if r.result.Started {
 		return
 	}
@@ -256,43 +265,43 @@
 	r.sink.Start(status, header)
 }
 
-// spend asks the budget for a repeat.
-func (r *run) spend(ctx context.Context) bool {
+// spendRetry charges a retry to the budget and logs when it is denied.
+func (r *requestState) spendRetry(ctx context.Context) bool {
 	now := time.Now()
-	if r.f.o.Repeats.Spend(now, r.request) {
+	if r.forwarder.options.Repeats.Spend(now, r.request) {
 		return true
 	}
-	attributes := append([]slog.Attr{chiveevent.Request(r.request.ID), slog.String("pool", r.request.Pool)}, r.f.o.Repeats.Explain(now, r.request)...)
-	chiveevent.RepeatDenied.Log(ctx, r.f.o.Logger, attributes...)
+	attributes := append([]slog.Attr{chiveevent.Request(r.request.ID), slog.String("pool", r.request.Pool)}, r.forwarder.options.Repeats.Explain(now, r.request)...)
+	chiveevent.RepeatDenied.Log(ctx, r.forwarder.options.Logger, attributes...)
 	return false
 }
 
-func (r *run) note(c *call, ended ending) {
-	r.result.Tries = append(r.result.Tries, Try{Endpoint: c.target.ID, Ended: endingNames[ended], Touched: c.touched, Status: c.status, Err: c.err})
+func (r *requestState) recordAttempt(a *attempt, outcome attemptOutcome) {
+	r.result.Tries = append(r.result.Tries, Try{Endpoint: a.target.ID, Ended: attemptOutcomeNames[outcome], Touched: a.mayHaveRun, Status: a.status, Err: a.err})
 }
 
-// logSent writes one line for an attempt that is about to be made, with what decided for its endpoint.
-func (r *run) logSent(ctx context.Context, c *call) {
+// logAttemptSent logs an attempt before it is sent, with the reasons for the selection of its endpoint.
+func (r *requestState) logAttemptSent(ctx context.Context, a *attempt) {
 	attributes := []slog.Attr{
 		chiveevent.Request(r.request.ID), slog.Int("attempt", len(r.result.Tries)+1), slog.String("pool", r.request.Pool),
-		slog.String("endpoint", c.target.ID), slog.String("address", c.target.Address),
-		slog.Int64("left_ms", r.left().Milliseconds()), slog.String("after_event", r.last),
+		slog.String("endpoint", a.target.ID), slog.String("address", a.target.Address),
+		slog.Int64("left_ms", r.remainingTime().Milliseconds()), slog.String("after_event", r.lastEventID),
 	}
-	chiveevent.AttemptSent.Log(ctx, r.f.o.Logger, append(attributes, c.place.Why()...)...)
+	chiveevent.AttemptSent.Log(ctx, r.forwarder.options.Logger, append(attributes, a.place.Why()...)...)
 }
 
-// logEnded writes one line for an attempt that was made.
-func (r *run) logEnded(ctx context.Context, c *call, ended ending, passedOver time.Duration) {
+// logAttemptEnded logs the outcome of an attempt.
+func (r *requestState) logAttemptEnded(ctx context.Context, a *attempt, outcome attemptOutcome, ejectedFor time.Duration) {
 	attributes := []slog.Attr{
-		chiveevent.Request(r.request.ID), slog.Int("attempt", len(r.result.Tries)), slog.String("endpoint", c.target.ID),
-		slog.String("ended", endingNames[ended]), slog.Bool("touched", c.touched), slog.Int("status", c.status),
-		slog.Int("events", r.result.Events), slog.Int64("took_ms", time.Since(c.began).Milliseconds()),
+		chiveevent.Request(r.request.ID), slog.Int("attempt", len(r.result.Tries)), slog.String("endpoint", a.target.ID),
+		slog.String("ended", attemptOutcomeNames[outcome]), slog.Bool("touched", a.mayHaveRun), slog.Int("status", a.status),
+		slog.Int("events", r.result.Events), slog.Int64("took_ms", time.Since(a.startedAt).Milliseconds()),
 	}
-	if passedOver > 0 {
-		attributes = append(attributes, slog.Int64("endpoint_passed_over_ms", passedOver.Milliseconds()))
+	if ejectedFor > 0 {
+		attributes = append(attributes, slog.Int64("endpoint_passed_over_ms", ejectedFor.Milliseconds()))
 	}
-	if c.err != nil {
-		attributes = append(attributes, slog.String("error", c.err.Error()))
+	if a.err != nil {
+		attributes = append(attributes, slog.String("error", a.err.Error()))
 	}
-	chiveevent.AttemptEnded.Log(ctx, r.f.o.Logger, attributes...)
+	chiveevent.AttemptEnded.Log(ctx, r.forwarder.options.Logger, attributes...)
 }
--- a/chiveforward/stream.go
+++ b/chiveforward/stream.go
@@ -4,31 +4,32 @@
 	"net/http"
 )
 
-// idStream passes on a stream whose events have rising ids: each once, in order, over all attempts.
+// idStream forwards a stream whose events have increasing IDs. Each event is passed on once and in order, across all
+// attempts.
 type idStream struct {
-	run      *run
+	state    *requestState
 	response *http.Response
-	// from is the last event that the caller had when the attempt began.
-	from string
+	// resumedAfter is the ID of the last event that had been passed on when the attempt began.
+	resumedAfter string
 }
 
-// Event passes an event on unless the caller has it from an earlier attempt. Within one attempt nothing is left out, whatever its
-// ids: the answer would look whole and not be the endpoint's.
-func (s *idStream) Event(data []byte, id string, more bool) (ended bool, err error) {
-	r := s.run
-	if !after(id, s.from) {
+// Event passes an event on unless an earlier attempt already did. Events of the current attempt are never dropped,
+// whatever their IDs: the response would look complete but differ from the one that the endpoint sent.
+func (s *idStream) Event(data []byte, id string, more bool) (done bool, err error) {
+	r := s.state
+	if !isAfter(id, s.resumedAfter) {
 		return false, nil
 	}
-	r.start(s.response.StatusCode, s.response.Header)
+	r.startResponse(s.response.StatusCode, s.response.Header)
 	if err := r.sink.Write(data, !more); err != nil {
 		return false, err
 	}
 	r.result.Events++
 	if id != "" {
-		r.last = id
+		r.lastEventID = id
 	}
 	return false, nil
 }
 
-// Whole is never known before the end.
+// Whole returns false, because a stream of this kind has no event that marks its end.
 func (s *idStream) Whole() bool { return false }
--- a/chiveforward/suspend.go
+++ b/chiveforward/suspend.go
@@ -6,33 +6,33 @@
 	"unsafe"
 )
 
-// clockBootTime is the number of Linux's clock that goes on while the machine is suspended.
+// clockBootTime is the ID of Linux's CLOCK_BOOTTIME, which keeps running while the machine is suspended.
 const clockBootTime = 7
 
-// SinceBoot reads that clock. The runtime's own clock stands still during a suspension: a request whose caller has long given
-// up would look as if it still had time, and would be sent. A system without the clock reports zero, which means that no
-// suspension is ever seen.
+// SinceBoot reads CLOCK_BOOTTIME. The runtime's clock stops during a suspension, so a request whose caller has long
+// given up would seem to have time left and would be sent. On a system without this clock it returns zero, and
+// suspensions are not detected.
 func SinceBoot() time.Duration {
 	var now syscall.Timespec
-	_, _, failed := syscall.Syscall(syscall.SYS_CLOCK_GETTIME, clockBootTime, uintptr(unsafe.Pointer(&now)), 0) //nolint:gosec // the call fills the struct
+	_, _, failed := syscall.Syscall(syscall.SYS_CLOCK_GETTIME, clockBootTime, uintptr(unsafe.Pointer(&now)), 0) //nolint:gosec // the system call fills the struct
 	if failed != 0 {
 		return 0
 	}
 	return time.Duration(now.Nano())
 }
 
-// stopwatch measures how long the machine was suspended since it was started.
-type stopwatch struct {
-	read func() time.Duration
-	boot time.Duration
-	wall time.Time
+// suspensionTimer measures how long the machine has been suspended since the timer was created.
+type suspensionTimer struct {
+	sinceBoot func() time.Duration
+	startBoot time.Duration
+	startWall time.Time
 }
 
-func newStopwatch(read func() time.Duration) stopwatch {
-	return stopwatch{read: read, boot: read(), wall: time.Now()}
+func newSuspensionTimer(sinceBoot func() time.Duration) suspensionTimer {
+	return suspensionTimer{sinceBoot: sinceBoot, startBoot: sinceBoot(), startWall: time.Now()}
 }
 
-// suspended is the time that the runtime's clock has missed.
-func (s *stopwatch) suspended() time.Duration {
-	return max(s.read()-s.boot-time.Since(s.wall), 0)
+// suspended returns the time that the runtime's clock has missed.
+func (s *suspensionTimer) suspended() time.Duration {
+	return max(s.sinceBoot()-s.startBoot-time.Since(s.startWall), 0)
 }
