--- a/chiveforward/bench_test.go
+++ b/chiveforward/bench_test.go
@@ -13,10 +13,11 @@
 	"chivedrift/chivetable"
 )
 
-// BenchmarkEndpointChange is one change of one endpoint, from the directory through the pools. It may not grow with the number of endpoints: at 3,000 it
-// took 4.6 ms and 2.2 MB where each listener took the whole list, and takes 7 us and 1.2 KB.
+// BenchmarkEndpointChange measures one change of one endpoint, from the directory to the pools. The time must not
+// depend on the number of endpoints. With 3,000 endpoints a change took 4.6 ms and 2.2 MB when each listener received
+// the whole list; it takes 7 us and 1.2 KB since listeners receive differences.
 func BenchmarkEndpointChange(b *testing.B) {
-	const most = 200_000
+	const maxNs = 200_000
 	for _, count := range []int{300, 1000, 3000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			decode := func(id string, data []byte) (chivedirectory.Endpoint, error) {
@@ -50,8 +51,8 @@
 			for i := range b.N {
 				change(i%count, 2+i/count)
 			}
-			if each := float64(b.Elapsed().Nanoseconds()) / float64(b.N); b.N > 1 && each > most {
-				b.Errorf("%.0f ns, more than %d", each, most)
+			if perChange := float64(b.Elapsed().Nanoseconds()) / float64(b.N); b.N > 1 && perChange > maxNs {
+				b.Errorf("%.0f ns per change, want at most %d", perChange, maxNs)
 			}
 		})
 	}
--- a/chiveforward/budget_test.go
+++ b/chiveforward/budget_test.go
@@ -10,55 +10,56 @@
 	"pgregory.net/rapid"
 )
 
-var toPool = &chiverequest.Request{Pool: "p"}
+var poolRequest = &chiverequest.Request{Pool: "p"}
 
-// The bound on repeats is the fleet's. This property plays arbitrary histories: nodes that are killed and start anew with an
-// empty budget, nodes that lose sight of the others and take them for dead, requests and wishes to repeat at any time on any
-// node. In no window may the repeats exceed the ratio of that window's or the one before's requests plus the headroom.
-func TestFleetStaysWithinTheBudget(t *testing.T) {
+// The limit on retries applies to the whole fleet. This test generates random histories of requests and retries on any
+// node, in which nodes are killed and restart with an empty budget, or lose contact with the others and consider them
+// dead. In no window may the retries exceed the ratio of the requests in this window or in the one before, whichever
+// had more, plus the headroom.
+func TestFleetStaysWithinRetryBudget(t *testing.T) {
 	limits := chiveforward.BudgetLimits{Ratio: 0.2, Headroom: 50, Window: 10 * time.Second}
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(1, 9).Draw(t, "nodes")
 		start := time.Now()
-		at := time.Duration(0)
+		elapsed := time.Duration(0)
 		budgets := make([]*chiveforward.Budget, nodes)
-		begin := func(i int) {
-			budgets[i] = chiveforward.NewBudget(start.Add(at), limits)
-			budgets[i].SetNodes(start.Add(at), nodes)
+		restart := func(i int) {
+			budgets[i] = chiveforward.NewBudget(start.Add(elapsed), limits)
+			budgets[i].SetNodes(start.Add(elapsed), nodes)
 		}
 		for i := range budgets {
-			begin(i)
+			restart(i)
 		}
-		var requests, repeats []time.Duration
+		var requests, retries []time.Duration
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
-			at += time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * time.Millisecond
+			elapsed += time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * time.Millisecond
 			node := rapid.IntRange(0, nodes-1).Draw(t, "node")
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
+			switch rapid.IntRange(0, 9).Draw(t, "action") {
 			case 0:
-				begin(node)
+				restart(node)
 			case 1:
-				budgets[node].SetNodes(start.Add(at), 1)
+				budgets[node].SetNodes(start.Add(elapsed), 1)
 			case 2, 3, 4, 5:
-				budgets[node].Request(start.Add(at), toPool)
-				requests = append(requests, at)
+				budgets[node].Request(start.Add(elapsed), poolRequest)
+				requests = append(requests, elapsed)
 			}
-			for range rapid.IntRange(0, 6).Draw(t, "wish") {
-				if budgets[node].Spend(start.Add(at), toPool) {
-					repeats = append(repeats, at)
+			for range rapid.IntRange(0, 6).Draw(t, "retries") {
+				if budgets[node].Spend(start.Add(elapsed), poolRequest) {
+					retries = append(retries, elapsed)
 				}
 			}
 		}
-		for _, end := range repeats {
-			spent := within(repeats, end-limits.Window, end)
-			asked := max(within(requests, end-limits.Window, end), within(requests, end-2*limits.Window, end-limits.Window))
-			if float64(spent) > limits.Ratio*float64(asked)+limits.Headroom {
-				t.Fatalf("%d repeats in the window to %v for %d requests", spent, end, asked)
+		for _, end := range retries {
+			spent := countWithin(retries, end-limits.Window, end)
+			requested := max(countWithin(requests, end-limits.Window, end), countWithin(requests, end-2*limits.Window, end-limits.Window))
+			if float64(spent) > limits.Ratio*float64(requested)+limits.Headroom {
+				t.Fatalf("%d retries in the window ending at %v for %d requests", spent, end, requested)
 			}
 		}
 	})
 }
 
-func within(times []time.Duration, from, to time.Duration) int {
+func countWithin(times []time.Duration, from, to time.Duration) int {
 	n := 0
 	for _, at := range times {
 		if at > from && at <= to {
@@ -68,45 +69,45 @@
 	return n
 }
 
-func TestBudgetForgetsAWindow(t *testing.T) {
+func TestRetriesExpireAfterAWindow(t *testing.T) {
 	start := time.Now()
 	b := chiveforward.NewBudget(start, chiveforward.BudgetLimits{Ratio: 0, Headroom: 10, Window: time.Second})
 	now := start.Add(time.Second)
 	spent := 0
-	for b.Spend(now, toPool) {
+	for b.Spend(now, poolRequest) {
 		spent++
 	}
-	if spent == 0 || b.Spend(now.Add(900*time.Millisecond), toPool) {
-		t.Errorf("spent %d at once, and another one within the window", spent)
+	if spent == 0 || b.Spend(now.Add(900*time.Millisecond), poolRequest) {
+		t.Errorf("spent %d retries at once, or another one within the window", spent)
 	}
-	if !b.Spend(now.Add(1200*time.Millisecond), toPool) {
-		t.Error("nothing left a window later")
+	if !b.Spend(now.Add(1200*time.Millisecond), poolRequest) {
+		t.Error("no retry allowed after a window")
 	}
 }
 
-// Guards against restarted nodes that spend their share of the retry budget a second time.
-func TestSuccessorHasNoHeadroomAtFirst(t *testing.T) {
+// Guards against restarted nodes that spend their share of the headroom a second time.
+func TestRestartedNodeHasNoHeadroomForAWindow(t *testing.T) {
 	start := time.Now()
 	b := chiveforward.NewBudget(start, chiveforward.BudgetLimits{Ratio: 0, Headroom: 100, Window: 10 * time.Second})
-	if b.Spend(start.Add(9*time.Second), toPool) {
-		t.Error("spent headroom that its predecessor may have spent")
+	if b.Spend(start.Add(9*time.Second), poolRequest) {
+		t.Error("spent headroom that the previous process may have spent")
 	}
-	if !b.Spend(start.Add(10*time.Second), toPool) {
-		t.Error("no headroom after a window")
+	if !b.Spend(start.Add(10*time.Second), poolRequest) {
+		t.Error("no headroom after a full window")
 	}
 }
 
-// Guards against partitioned nodes that each take the whole retry budget.
-func TestBudgetRemembersTheFleet(t *testing.T) {
+// Guards against partitioned nodes that each use the whole headroom.
+func TestBudgetKeepsLargestFleetSize(t *testing.T) {
 	start := time.Now()
 	b := chiveforward.NewBudget(start, chiveforward.BudgetLimits{Ratio: 0, Headroom: 100, Window: 10 * time.Second})
 	b.SetNodes(start, 10)
 	b.SetNodes(start.Add(time.Minute), 1)
 	spent := 0
-	for b.Spend(start.Add(time.Minute), toPool) {
+	for b.Spend(start.Add(time.Minute), poolRequest) {
 		spent++
 	}
 	if spent > 10 {
-		t.Errorf("spent %d of 100, alone of ten nodes", spent)
+		t.Errorf("one of ten nodes spent %d retries of a headroom of 100", spent)
 	}
 }
--- a/chiveforward/endpoint_test.go
+++ b/chiveforward/endpoint_test.go
@@ -20,10 +20,10 @@
 	"chivedrift/chivewire"
 )
 
-// wireDialect is an endpoints' dialect with four header fields.
-type wireDialect struct{}
+// headerDialect is an endpoint dialect that consists of a few header fields.
+type headerDialect struct{}
 
-func (wireDialect) Prepare(header http.Header, send chiverequest.Send) ([]byte, error) {
+func (headerDialect) Prepare(header http.Header, send chiverequest.Send) ([]byte, error) {
 	header.Set("Id", send.Request.ID)
 	header.Set("Left-Ms", strconv.FormatInt(send.Left.Milliseconds(), 10))
 	header.Set("Meant", send.Endpoint)
@@ -33,7 +33,7 @@
 	return send.Request.Body, nil
 }
 
-func (wireDialect) Judge(request *chiverequest.Request, response *http.Response) chiverequest.Verdict {
+func (headerDialect) Judge(request *chiverequest.Request, response *http.Response) chiverequest.Verdict {
 	switch {
 	case response.StatusCode == http.StatusMisdirectedRequest:
 		return chiverequest.VerdictElsewhere
@@ -45,14 +45,14 @@
 	return chiverequest.VerdictAnswer
 }
 
-const healthTarget = "/health"
+const healthPath = "/health"
 
-func (wireDialect) HealthCheck(header http.Header, id string) (method, target string) {
+func (headerDialect) HealthCheck(header http.Header, id string) (method, target string) {
 	header.Set("Meant", id)
-	return http.MethodGet, healthTarget
+	return http.MethodGet, healthPath
 }
 
-func (wireDialect) JudgeHealth(_, _ string, response *http.Response) chiverequest.Health {
+func (headerDialect) JudgeHealth(_, _ string, response *http.Response) chiverequest.Health {
 	switch {
 	case response.StatusCode == http.StatusMisdirectedRequest:
 		return chiverequest.HealthOther
@@ -62,16 +62,16 @@
 	return chiverequest.HealthAlive
 }
 
-// endpoint is a listener whose answers a test writes byte for byte.
+// endpoint is a listener whose responses a test writes byte for byte.
 type endpoint struct {
 	listener net.Listener
 	answer   func(conn net.Conn, request *http.Request, body string)
-	// health answers health checks; nil says that the endpoint is alive.
-	health func(conn net.Conn)
-	mu     sync.Mutex
-	got    []*http.Request
-	bodies []string
-	conns  int
+	// health responds to health checks; nil responds that the endpoint is alive.
+	health   func(conn net.Conn)
+	mu       sync.Mutex
+	received []*http.Request
+	bodies   []string
+	accepted int
 }
 
 func newEndpoint(t *testing.T, answer func(conn net.Conn, request *http.Request, body string)) *endpoint {
@@ -89,7 +89,7 @@
 				return
 			}
 			e.mu.Lock()
-			e.conns++
+			e.accepted++
 			e.mu.Unlock()
 			go e.serve(conn)
 		}
@@ -99,19 +99,19 @@
 
 func (e *endpoint) serve(conn net.Conn) {
 	defer conn.Close()
-	from := bufio.NewReader(conn)
+	reader := bufio.NewReader(conn)
 	for {
-		request, err := http.ReadRequest(from)
+		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
 		body, _ := io.ReadAll(request.Body)
-		if request.URL.Path == healthTarget {
+		if request.URL.Path == healthPath {
 			e.checkHealth(conn, request)
 			continue
 		}
 		e.mu.Lock()
-		e.got = append(e.got, request)
+		e.received = append(e.received, request)
 		e.bodies = append(e.bodies, string(body))
 		e.mu.Unlock()
 		e.answer(conn, request, string(body))
@@ -138,26 +138,26 @@
 func (e *endpoint) requests() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.got)
+	return len(e.received)
 }
 
 func (e *endpoint) connections() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.conns
+	return e.accepted
 }
 
 func (e *endpoint) request(i int) *http.Request {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.got[i]
+	return e.received[i]
 }
 
-func (e *endpoint) entry(id string) chivedirectory.Endpoint {
+func (e *endpoint) registration(id string) chivedirectory.Endpoint {
 	return chivedirectory.Endpoint{ID: id, Pool: "p", Address: e.listener.Addr().String(), FailureDomain: "a", Slots: 4}
 }
 
-// reset closes a connection so that its peer sees a reset.
+// reset closes a connection so that the peer receives a TCP reset.
 func reset(conn net.Conn) {
 	conn.(*net.TCPConn).SetLinger(0)
 	conn.Close()
@@ -165,45 +165,47 @@
 
 func write(conn net.Conn, text string) { io.WriteString(conn, text) }
 
-func plain(conn net.Conn, request *http.Request, body string) {
+func echo(conn net.Conn, request *http.Request, body string) {
 	write(conn, "HTTP/1.1 200 OK\r\nId: "+request.Header.Get("Id")+"\r\nContent-Length: "+strconv.Itoa(len(body))+"\r\n\r\n"+body)
 }
 
-// caller keeps what goes out to a caller.
-type caller struct {
+// recordingSink records what is passed to the caller.
+type recordingSink struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-func (c *caller) Start(status int, header http.Header) { c.status, c.header = status, header.Clone() }
+func (c *recordingSink) Start(status int, header http.Header) {
+	c.status, c.header = status, header.Clone()
+}
 
-func (c *caller) Write(data []byte, _ bool) error {
+func (c *recordingSink) Write(data []byte, _ bool) error {
 	c.body = append(c.body, data...)
 	return nil
 }
 
-type setup struct {
-	// asleep is how long the machine has been suspended since the test began, in nanoseconds.
-	asleep    *atomic.Int64
-	forwarder *chiveforward.Forwarder
-	budget    *chiveforward.Budget
-	pools     *chiveforward.Pools
-	table     *chivetable.Table
+type fixture struct {
+	// suspendedNs is the simulated time for which the machine has been suspended since the start of the test.
+	suspendedNs *atomic.Int64
+	forwarder   *chiveforward.Forwarder
+	budget      *chiveforward.Budget
+	pools       *chiveforward.Pools
+	table       *chivetable.Table
 }
 
-func newSetup(t *testing.T, route chivetable.Route, endpoints ...chivedirectory.Endpoint) *setup {
+func newFixture(t *testing.T, route chivetable.Route, endpoints ...chivedirectory.Endpoint) *fixture {
 	t.Helper()
-	return newSetupOn(t, chivewire.TCP{}, route, endpoints...)
+	return newFixtureOnNetwork(t, chivewire.TCP{}, route, endpoints...)
 }
 
-func newSetupOn(t *testing.T, network chivewire.Network, route chivetable.Route, endpoints ...chivedirectory.Endpoint) *setup {
+func newFixtureOnNetwork(t *testing.T, network chivewire.Network, route chivetable.Route, endpoints ...chivedirectory.Endpoint) *fixture {
 	t.Helper()
-	return newSetupWith(t, func(o *chiveforward.Options) { o.Network = network }, route, endpoints...)
+	return newFixtureWithOptions(t, func(o *chiveforward.Options) { o.Network = network }, route, endpoints...)
 }
 
-// newSetupWith makes a forwarder whose options a test may change.
-func newSetupWith(t *testing.T, change func(o *chiveforward.Options), route chivetable.Route, endpoints ...chivedirectory.Endpoint) *setup {
+// newFixtureWithOptions creates a forwarder after a test has changed its options.
+func newFixtureWithOptions(t *testing.T, change func(o *chiveforward.Options), route chivetable.Route, endpoints ...chivedirectory.Endpoint) *fixture {
 	t.Helper()
 	route.Name, route.Host, route.Prefix = "r", "h", "/"
 	route.Shares = []chivetable.Share{{Pool: "p", Weight: 1}}
@@ -218,10 +220,10 @@
 	pools := chiveforward.NewPools("a")
 	pools.SetTable(table)
 	pools.ApplyEndpoints(chivedirectory.Diff{Changed: endpoints})
-	asleep, began := &atomic.Int64{}, time.Now()
+	suspendedNs, start := &atomic.Int64{}, time.Now()
 	options := chiveforward.Options{
-		SinceBoot: func() time.Duration { return time.Since(began) + time.Duration(asleep.Load()) },
-		Self:      "test", Network: chivewire.TCP{}, Dialect: wireDialect{}, Places: pools, Repeats: budget, Rules: chiveforward.StoreRules,
+		SinceBoot: func() time.Duration { return time.Since(start) + time.Duration(suspendedNs.Load()) },
+		Self:      "test", Network: chivewire.TCP{}, Dialect: headerDialect{}, Places: pools, Repeats: budget, Rules: chiveforward.StoreRules,
 		Logger: slog.New(slog.DiscardHandler),
 	}
 	change(&options)
@@ -230,10 +232,10 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { f.Stop(context.Background()) })
-	return &setup{asleep, f, budget, pools, table}
+	return &fixture{suspendedNs, f, budget, pools, table}
 }
 
-func (s *setup) request(method, body string) *chiverequest.Request {
+func (s *fixture) request(method, body string) *chiverequest.Request {
 	route, _ := s.table.Match("h", "/")
 	now := time.Now()
 	return &chiverequest.Request{
@@ -242,7 +244,7 @@
 	}
 }
 
-func (s *setup) run(request *chiverequest.Request) (chiveforward.Result, *caller) {
-	c := &caller{}
+func (s *fixture) run(request *chiverequest.Request) (chiveforward.Result, *recordingSink) {
+	c := &recordingSink{}
 	return s.forwarder.Run(context.Background(), request, c), c
 }
--- a/chiveforward/fuzz_test.go
+++ b/chiveforward/fuzz_test.go
@@ -16,8 +16,8 @@
 	"chivedrift/chivetable"
 )
 
-// endpointWords are answers as endpoints send them, whole and not.
-var endpointWords = []string{
+// endpointResponses are responses of endpoints, complete, truncated and malformed.
+var endpointResponses = []string{
 	"HTTP/1.1 200 OK\r\nId: 42\r\nContent-Length: 5\r\n\r\nhello",
 	"HTTP/1.1 200 OK\r\nId: 42\r\nContent-Length: 5\r\n\r\nhel",
 	"HTTP/1.1 200 OK\r\nId: 41\r\nContent-Length: 5\r\n\r\nhello",
@@ -33,70 +33,71 @@
 	"", "\x00\x01\x02", "HTTP/1.1 200",
 }
 
-// FuzzEndpointBytes lets an endpoint send any bytes and close: whatever they are, a caller is told that its request was completed only
-// with the whole answer to it, and that it was not run only by the endpoint's own word; it is sent once.
+// FuzzEndpointBytes lets an endpoint send arbitrary bytes and close the connection. Whatever the bytes, a request may
+// only be reported as completed with its full response, and as not run if the endpoint said so. It is sent only once,
+// unless the endpoint said that it did not run it.
 func FuzzEndpointBytes(f *testing.F) {
-	for _, words := range endpointWords {
-		f.Add([]byte(words))
+	for _, response := range endpointResponses {
+		f.Add([]byte(response))
 	}
-	f.Fuzz(func(t *testing.T, words []byte) {
-		network := &pipes{words: words}
-		s := newSetupOn(t, network, chivetable.Route{Attempts: 2, Timeout: time.Second}, chivedirectory.Endpoint{ID: "e", Pool: "p", Address: "10.0.0.1:1"})
+	f.Fuzz(func(t *testing.T, response []byte) {
+		network := &pipeNetwork{response: response}
+		s := newFixtureOnNetwork(t, network, chivetable.Route{Attempts: 2, Timeout: time.Second}, chivedirectory.Endpoint{ID: "e", Pool: "p", Address: "10.0.0.1:1"})
 		request := s.request("POST", "x")
 		request.Deadline = time.Now().Add(500 * time.Millisecond)
 		result, c := s.run(request)
-		status, header, body, err := finalAnswer(words)
-		whole := err == nil && header.Get("Id") == "42"
+		status, header, body, err := finalResponse(response)
+		complete := err == nil && header.Get("Id") == "42"
 		switch result.Outcome {
 		case chiveforward.Completed:
-			if !whole || c.status != status || !bytes.Equal(c.body, body) {
-				t.Errorf("completed with %d %q; the endpoint sent %q", c.status, c.body, words)
+			if !complete || c.status != status || !bytes.Equal(c.body, body) {
+				t.Errorf("completed with %d %q, but the endpoint sent %q", c.status, c.body, response)
 			}
 		case chiveforward.NotRun:
 			if header.Get("Not-Run") == "" && status != http.StatusMisdirectedRequest {
-				t.Errorf("not run, but the endpoint did not say so: %q", words)
+				t.Errorf("reported as not run, but the endpoint sent %q", response)
 			}
 		case chiveforward.Failed, chiveforward.Unknown:
 		}
 		if network.requests.Load() > 1 && header.Get("Not-Run") == "" && status != http.StatusMisdirectedRequest {
-			t.Errorf("a request that may run once was sent %d times", network.requests.Load())
+			t.Errorf("a request that must not run twice was sent %d times", network.requests.Load())
 		}
 	})
 }
 
-// pipes is a network in memory whose only endpoint answers each request with the same bytes and closes; thousands of
-// connections a second would use up the ports of a real one.
-type pipes struct {
-	words    []byte
+// pipeNetwork is an in-memory network whose only endpoint answers each request with the same bytes and closes the
+// connection. The fuzz test opens thousands of connections per second, which would exhaust the ports of a real network.
+type pipeNetwork struct {
+	response []byte
 	requests atomic.Int64
 }
 
-func (p *pipes) Dial(context.Context, string, string) (net.Conn, error) {
-	near, far := net.Pipe()
+func (p *pipeNetwork) Dial(context.Context, string, string) (net.Conn, error) {
+	client, server := net.Pipe()
 	go func() {
-		defer far.Close()
-		request, err := http.ReadRequest(bufio.NewReader(far))
+		defer server.Close()
+		request, err := http.ReadRequest(bufio.NewReader(server))
 		if err != nil {
 			return
 		}
 		if _, err := io.Copy(io.Discard, request.Body); err != nil {
 			return
 		}
-		if request.URL.Path != healthTarget {
+		if request.URL.Path != healthPath {
 			p.requests.Add(1)
 		}
-		_, _ = far.Write(p.words)
+		_, _ = server.Write(p.response)
 	}()
-	return near, nil
+	return client, nil
 }
 
-func (p *pipes) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
+func (p *pipeNetwork) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
 
-// finalAnswer reads the answer that stands in some bytes after what is only informational.
-func finalAnswer(words []byte) (status int, header http.Header, body []byte, err error) {
-	from := bufio.NewReader(bytes.NewReader(words))
+// finalResponse parses the first response that is not informational.
+func finalResponse(data []byte) (status int, header http.Header, body []byte, err error) {
+	reader := bufio.NewReader(bytes.NewReader(data))
 	for {
-		response, err := http.ReadResponse(from, &http.Request{Method: http.MethodPost})
+		response, err := http.ReadResponse(reader, &http.Request{Method: http.MethodPost})
 		if err != nil {
 			return 0, http.Header{}, nil, err
 		}
--- a/chiveforward/quarantine_test.go
+++ b/chiveforward/quarantine_test.go
@@ -16,135 +16,138 @@
 	"chivedrift/chivetable"
 )
 
-// quarantine is what the forwarder tells and asks, with answers that a test sets.
-type quarantine struct {
-	mu       sync.Mutex
-	admit    chivequarantine.Admission
-	held     chivequarantine.Admission
-	ended    []string
-	evidence []chivehealth.Evidence
-	alive    []string
-	failed   []chivehealth.Failure
-	answered int
-	watches  []func()
-}
-
-func (q *quarantine) Admit(time.Time, *chiverequest.Request) chivequarantine.Admission {
+// fakeQuarantine records the forwarder's reports and returns admissions that a test sets.
+type fakeQuarantine struct {
+	mu          sync.Mutex
+	admit       chivequarantine.Admission
+	quarantined chivequarantine.Admission
+	crashed     []string
+	evidence    []chivehealth.Evidence
+	alive       []string
+	failed      []chivehealth.Failure
+	answered    int
+	callbacks   []func()
+}
+
+func (q *fakeQuarantine) Admit(time.Time, *chiverequest.Request) chivequarantine.Admission {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.admit
 }
 
-func (q *quarantine) Quarantined(time.Time, *chiverequest.Request) chivequarantine.Admission {
+func (q *fakeQuarantine) Quarantined(time.Time, *chiverequest.Request) chivequarantine.Admission {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.held
+	return q.quarantined
 }
 
-func (q *quarantine) Crashed(_ time.Time, _ *chiverequest.Request, failure chivehealth.Failure) {
+func (q *fakeQuarantine) Crashed(_ time.Time, _ *chiverequest.Request, failure chivehealth.Failure) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.ended = append(q.ended, failure.Endpoint+" in "+failure.FailureDomain)
+	q.crashed = append(q.crashed, failure.Endpoint+" in "+failure.FailureDomain)
 	q.evidence = append(q.evidence, failure.Evidence)
 }
 
-func (q *quarantine) Alive(_ time.Time, endpoint string, _ time.Time) {
+func (q *fakeQuarantine) Alive(_ time.Time, endpoint string, _ time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.alive = append(q.alive, endpoint)
 }
 
-func (q *quarantine) Failed(_ time.Time, failure chivehealth.Failure) {
+func (q *fakeQuarantine) Failed(_ time.Time, failure chivehealth.Failure) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.failed = append(q.failed, failure)
 }
 
-func (q *quarantine) Answered(time.Time, *chiverequest.Request) {
+func (q *fakeQuarantine) Answered(time.Time, *chiverequest.Request) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.answered++
 }
 
-func (q *quarantine) Watch(_ *chiverequest.Request, held func()) (stop func()) {
+func (q *fakeQuarantine) Watch(_ *chiverequest.Request, onQuarantine func()) (stop func()) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.watches = append(q.watches, held)
+	q.callbacks = append(q.callbacks, onQuarantine)
 	return func() {}
 }
 
-// hold holds the request back and tells its running attempts.
-func (q *quarantine) hold(after time.Duration) {
+// quarantineRequest quarantines the request and notifies its attempts in flight.
+func (q *fakeQuarantine) quarantineRequest(retryAfter time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.held = chivequarantine.Admission{Quarantined: true, RetryAfter: after}
-	for _, held := range q.watches {
-		held()
+	q.quarantined = chivequarantine.Admission{Quarantined: true, RetryAfter: retryAfter}
+	for _, onQuarantine := range q.callbacks {
+		onQuarantine()
 	}
 }
 
-func newHeldSetup(t *testing.T, q *quarantine, endpoints ...chivedirectory.Endpoint) *setup {
+func newQuarantineFixture(t *testing.T, q *fakeQuarantine, endpoints ...chivedirectory.Endpoint) *fixture {
 	t.Helper()
-	return newSetupWith(t, func(o *chiveforward.Options) { o.Quarantine = q }, chivetable.Route{Attempts: 3, Repeat: chivetable.RepeatAlways}, endpoints...)
+	return newFixtureWithOptions(t, func(o *chiveforward.Options) { o.Quarantine = q }, chivetable.Route{Attempts: 3, Repeat: chivetable.RepeatAlways}, endpoints...)
 }
 
-// crash is the answer of an endpoint whose process ends as it begins a request.
-func crash(of **endpoint) func(net.Conn, *http.Request, string) {
+// crashEndpoint simulates a process that crashes when it receives a request: the listener closes and the connection is
+// reset.
+func crashEndpoint(e **endpoint) func(net.Conn, *http.Request, string) {
 	return func(conn net.Conn, _ *http.Request, _ string) {
-		(*of).listener.Close()
+		(*e).listener.Close()
 		reset(conn)
 	}
 }
 
-func TestEndOfAnEndpointIsTold(t *testing.T) {
-	var ends *endpoint
-	ends = newEndpoint(t, crash(&ends))
-	q := &quarantine{}
-	s := newHeldSetup(t, q, ends.entry("ends"))
+func TestCrashIsReported(t *testing.T) {
+	var crashing *endpoint
+	crashing = newEndpoint(t, crashEndpoint(&crashing))
+	q := &fakeQuarantine{}
+	s := newQuarantineFixture(t, q, crashing.registration("crashing"))
 	s.run(s.request(http.MethodGet, ""))
-	if !slices.Equal(q.ended, []string{"ends in a"}) || q.answered != 0 {
-		t.Errorf("told of %v and %d answers", q.ended, q.answered)
+	if !slices.Equal(q.crashed, []string{"crashing in a"}) || q.answered != 0 {
+		t.Errorf("reported crashes %v and %d responses", q.crashed, q.answered)
 	}
 }
 
-// An endpoint that resets a connection, cuts an answer short or says nonsense goes on serving others: that speaks against no request.
-func TestBrokenConnectionIsNoEnd(t *testing.T) {
-	alive := newEndpoint(t, func(conn net.Conn, _ *http.Request, _ string) { reset(conn) })
-	cuts := newEndpoint(t, func(conn net.Conn, _ *http.Request, _ string) {
+// Guards against implicating a request because an endpoint reset its connection or truncated its response. The endpoint
+// still accepts connections, so it did not crash.
+func TestBrokenConnectionIsNotReportedAsCrash(t *testing.T) {
+	resetting := newEndpoint(t, func(conn net.Conn, _ *http.Request, _ string) { reset(conn) })
+	truncating := newEndpoint(t, func(conn net.Conn, _ *http.Request, _ string) {
 		write(conn, "HTTP/1.1 200 OK\r\nId: 42\r\nContent-Length: 9\r\n\r\nshort")
 		conn.Close()
 	})
-	q := &quarantine{}
-	s := newHeldSetup(t, q, alive.entry("alive"), cuts.entry("cuts"))
+	q := &fakeQuarantine{}
+	s := newQuarantineFixture(t, q, resetting.registration("resetting"), truncating.registration("truncating"))
 	s.run(s.request(http.MethodGet, ""))
-	if len(q.ended) > 0 {
-		t.Errorf("told of the ends of %v", q.ended)
+	if len(q.crashed) > 0 {
+		t.Errorf("reported crashes: %v", q.crashed)
 	}
 }
 
-// A replica that is replaced stops once it has drained, and what it still had breaks off: its end was planned.
-func TestEndOfALeavingEndpointIsNotTold(t *testing.T) {
-	var ends *endpoint
-	q := &quarantine{}
-	var s *setup
-	ends = newEndpoint(t, func(conn net.Conn, _ *http.Request, _ string) {
-		leaving := ends.entry("ends")
+// Guards against reporting the planned stop of a replaced replica as a crash. It stops after draining, and requests
+// that are still in flight break off.
+func TestPlannedStopIsNotReportedAsCrash(t *testing.T) {
+	var stopping *endpoint
+	q := &fakeQuarantine{}
+	var s *fixture
+	stopping = newEndpoint(t, func(conn net.Conn, _ *http.Request, _ string) {
+		leaving := stopping.registration("stopping")
 		leaving.State = chivedirectory.Leaving
 		s.pools.ApplyEndpoints(chivedirectory.Diff{Changed: []chivedirectory.Endpoint{leaving}})
-		ends.listener.Close()
+		stopping.listener.Close()
 		reset(conn)
 	})
-	s = newHeldSetup(t, q, ends.entry("ends"))
+	s = newQuarantineFixture(t, q, stopping.registration("stopping"))
 	s.run(s.request(http.MethodGet, ""))
-	if len(q.ended) > 0 || ends.requests() != 1 {
-		t.Errorf("told of the ends of %v after %d requests", q.ended, ends.requests())
+	if len(q.crashed) > 0 || stopping.requests() != 1 {
+		t.Errorf("reported crashes %v after %d requests", q.crashed, stopping.requests())
 	}
 }
 
-func TestHeldRequestReachesNobody(t *testing.T) {
-	e := newEndpoint(t, plain)
-	q := &quarantine{admit: chivequarantine.Admission{Quarantined: true, RetryAfter: 7 * time.Second}}
-	s := newHeldSetup(t, q, e.entry("one"))
+func TestQuarantinedRequestIsNotSent(t *testing.T) {
+	e := newEndpoint(t, echo)
+	q := &fakeQuarantine{admit: chivequarantine.Admission{Quarantined: true, RetryAfter: 7 * time.Second}}
+	s := newQuarantineFixture(t, q, e.registration("one"))
 	result, c := s.run(s.request(http.MethodGet, ""))
 	if result.Outcome != chiveforward.NotRun || result.Status != http.StatusServiceUnavailable || result.RetryAfter != 7*time.Second ||
 		result.Code != chiveforward.CodeQuarantined || e.requests() != 0 || c.status != 0 {
@@ -152,52 +155,52 @@
 	}
 }
 
-// Guards against engines ended by queued copies of a request that is quarantined by then.
-func TestCopyThatWaitsIsTakenBack(t *testing.T) {
+// Guards against engines crashed by copies of a request that still wait there when the request is quarantined.
+func TestWaitingAttemptIsCancelledOnQuarantine(t *testing.T) {
 	slow := newEndpoint(t, func(net.Conn, *http.Request, string) { time.Sleep(time.Second) })
-	q := &quarantine{}
-	s := newHeldSetup(t, q, slow.entry("slow"))
-	began := time.Now()
-	time.AfterFunc(100*time.Millisecond, func() { q.hold(5 * time.Second) })
+	q := &fakeQuarantine{}
+	s := newQuarantineFixture(t, q, slow.registration("slow"))
+	start := time.Now()
+	time.AfterFunc(100*time.Millisecond, func() { q.quarantineRequest(5 * time.Second) })
 	result, _ := s.run(s.request(http.MethodGet, ""))
 	if result.Outcome != chiveforward.Unknown || result.Status != http.StatusBadGateway || result.Code != chiveforward.CodeQuarantined ||
 		result.RetryAfter != 5*time.Second || slow.requests() != 1 {
 		t.Errorf("got %+v after %d requests", result, slow.requests())
 	}
-	if took := time.Since(began); took > 500*time.Millisecond {
-		t.Errorf("the answer took %v", took)
+	if elapsed := time.Since(start); elapsed > 500*time.Millisecond {
+		t.Errorf("the response took %v", elapsed)
 	}
 }
 
-// A request that was under way when it came to be held back gets no further attempt.
-func TestNoFurtherAttemptOfAHeldRequest(t *testing.T) {
+// Guards against another attempt of a request that was quarantined while in progress.
+func TestQuarantinedRequestIsNotRetried(t *testing.T) {
 	var one *endpoint
-	q := &quarantine{}
+	q := &fakeQuarantine{}
 	one = newEndpoint(t, func(conn net.Conn, request *http.Request, body string) {
 		q.mu.Lock()
-		q.held = chivequarantine.Admission{Quarantined: true, RetryAfter: time.Second}
+		q.quarantined = chivequarantine.Admission{Quarantined: true, RetryAfter: time.Second}
 		q.mu.Unlock()
-		crash(&one)(conn, request, body)
+		crashEndpoint(&one)(conn, request, body)
 	})
-	s := newHeldSetup(t, q, one.entry("one"))
+	s := newQuarantineFixture(t, q, one.registration("one"))
 	result, _ := s.run(s.request(http.MethodGet, ""))
 	if result.Code != chiveforward.CodeQuarantined || result.Outcome != chiveforward.Unknown || len(result.Tries) != 1 {
 		t.Errorf("got %+v", result)
 	}
 }
 
-func TestTrialIsOneAttempt(t *testing.T) {
+func TestProbeGetsOneAttempt(t *testing.T) {
 	var one, two *endpoint
-	one, two = newEndpoint(t, crash(&one)), newEndpoint(t, crash(&two))
-	q := &quarantine{admit: chivequarantine.Admission{Probe: true}, held: chivequarantine.Admission{Quarantined: true, RetryAfter: time.Second}}
-	s := newHeldSetup(t, q, one.entry("one"), two.entry("two"))
+	one, two = newEndpoint(t, crashEndpoint(&one)), newEndpoint(t, crashEndpoint(&two))
+	q := &fakeQuarantine{admit: chivequarantine.Admission{Probe: true}, quarantined: chivequarantine.Admission{Quarantined: true, RetryAfter: time.Second}}
+	s := newQuarantineFixture(t, q, one.registration("one"), two.registration("two"))
 	result, _ := s.run(s.request(http.MethodGet, ""))
 	if n := one.requests() + two.requests(); n != 1 || result.Outcome != chiveforward.Unknown {
 		t.Errorf("sent %d times, got %+v", n, result)
 	}
-	answers := newEndpoint(t, plain)
-	s = newHeldSetup(t, q, answers.entry("answers"))
+	responding := newEndpoint(t, echo)
+	s = newQuarantineFixture(t, q, responding.registration("responding"))
 	if result, _ := s.run(s.request(http.MethodGet, "")); result.Outcome != chiveforward.Completed || q.answered != 1 {
-		t.Errorf("got %+v, told of %d answers", result, q.answered)
+		t.Errorf("got %+v, reported %d responses", result, q.answered)
 	}
 }
