--- a/chiveschedule/backlog.go
+++ b/chiveschedule/backlog.go
@@ -12,24 +12,24 @@
 	total  int64
 }
 
-func (b *backlog) count(now time.Time, tiers int, waiting map[requestKey]*waiting) {
+func (b *backlog) recount(now time.Time, tiers int, waiting map[attemptKey]*waitingRequest) {
 	*b = backlog{onTime: make([]int64, tiers+1), late: make([]int64, tiers+1)}
 	for _, w := range waiting {
 		w.late = w.due.Before(now)
-		b.change(w, w.cost)
+		b.adjust(w, w.cost)
 	}
 }
 
-func (b *backlog) add(now time.Time, w *waiting) {
+func (b *backlog) add(now time.Time, w *waitingRequest) {
 	w.late = w.due.Before(now)
-	b.change(w, w.cost)
+	b.adjust(w, w.cost)
 }
 
-func (b *backlog) remove(w *waiting) {
-	b.change(w, -w.cost)
+func (b *backlog) remove(w *waitingRequest) {
+	b.adjust(w, -w.cost)
 }
 
-func (b *backlog) change(w *waiting, cost int64) {
+func (b *backlog) adjust(w *waitingRequest, cost int64) {
 	sums := &b.onTime
 	if w.late {
 		sums = &b.late
@@ -41,9 +41,9 @@
 	b.total += cost
 }
 
-// ahead returns the work that goes before a request of a tier: all of more urgent tiers, and of its own tier what is on
+// workAhead returns the work that goes before a request of a tier: all of more urgent tiers, and of its own tier what is on
 // time, or everything when the request itself is late.
-func (b *backlog) ahead(tier int, late bool) int64 {
+func (b *backlog) workAhead(tier int, late bool) int64 {
 	work := int64(0)
 	for i := range b.onTime {
 		if i <= tier {
--- a/chiveschedule/client.go
+++ b/chiveschedule/client.go
@@ -23,10 +23,10 @@
 const ClientName = "slots"
 
 const (
-	tendEvery    = 100 * time.Millisecond
-	suspectFor   = 3 * time.Second
-	restateAfter = time.Second
-	localTries   = 2
+	maintenanceInterval   = 100 * time.Millisecond
+	suspicionPeriod       = 3 * time.Second
+	resendDelay           = time.Second
+	triesBeforeLocalGrant = 2
 )
 
 // ErrNoPool is returned for a pool without shards in the configuration in force.
@@ -49,24 +49,24 @@
 
 // Client asks the schedulers of shards for slots and keeps what this gateway holds.
 type Client struct {
-	mesh    *chivewire.Mesh
-	logger  *slog.Logger
-	region  string
-	choice  *chiveroute.Choice
-	members atomic.Pointer[[]chivemember.Member]
-	table   atomic.Pointer[shardTable]
-	places  atomic.Pointer[chiveroute.Placement]
-	placing sync.Mutex
+	mesh        *chivewire.Mesh
+	logger      *slog.Logger
+	region      string
+	shardChoice *chiveroute.Choice
+	members     atomic.Pointer[[]chivemember.Member]
+	table       atomic.Pointer[shardTable]
+	placement   atomic.Pointer[chiveroute.Placement]
+	placementMu sync.Mutex
 
-	mu       sync.Mutex
-	pending  map[requestKey]*pending
-	held     map[requestKey]*Slot
-	suspects map[string]time.Time
-	restate  map[string]time.Time
-	placed   map[string]string
-	local    map[string]int
+	mu               sync.Mutex
+	pending          map[attemptKey]*pendingRequest
+	heldSlots        map[attemptKey]*Slot
+	suspects         map[string]time.Time
+	resendAt         map[string]time.Time
+	schedulerByShard map[string]string
+	localGrants      map[string]int
 
-	duties chivekernel.Duties
+	background chivekernel.Duties
 }
 
 // shardTable is the configuration's shards, by pool and by name.
@@ -76,50 +76,50 @@
 	byID   map[string]chiveroute.Shard
 }
 
-// pending is a request for a slot that has no answer yet.
-type pending struct {
-	shard     chiveroute.Shard
-	request   SlotRequest
-	scheduler string
-	asked     time.Time
-	heard     bool
-	tries     int
-	answer    chan pendingAnswer
+// pendingRequest is a request for a slot that has no answer yet.
+type pendingRequest struct {
+	shard        chiveroute.Shard
+	request      SlotRequest
+	scheduler    string
+	sentAt       time.Time
+	acknowledged bool
+	tries        int
+	answer       chan slotAnswer
 }
 
-type pendingAnswer struct {
-	grant   *SlotGrant
-	refusal *SlotRefusal
-	local   bool
+type slotAnswer struct {
+	grant          *SlotGrant
+	refusal        *SlotRefusal
+	grantedLocally bool
 }
 
 // NewClient returns the gateway's side of a node in a region.
 func NewClient(region string, mesh *chivewire.Mesh, logger *slog.Logger) *Client {
 	c := &Client{
-		mesh: mesh, logger: logger, region: region, choice: chiveroute.NewChoice(rand.IntN),
-		pending: make(map[requestKey]*pending), held: make(map[requestKey]*Slot), suspects: make(map[string]time.Time),
-		restate: make(map[string]time.Time), placed: make(map[string]string), local: make(map[string]int),
+		mesh: mesh, logger: logger, region: region, shardChoice: chiveroute.NewChoice(rand.IntN),
+		pending: make(map[attemptKey]*pendingRequest), heldSlots: make(map[attemptKey]*Slot), suspects: make(map[string]time.Time),
+		resendAt: make(map[string]time.Time), schedulerByShard: make(map[string]string), localGrants: make(map[string]int),
 	}
 	c.members.Store(&[]chivemember.Member{})
 	c.table.Store(&shardTable{})
-	c.place()
+	c.updatePlacement()
 	chivewire.Receive(mesh, chivewire.KindSlotGrant, c.onGrant)
 	chivewire.Receive(mesh, chivewire.KindSlotQueued, c.onQueued)
 	chivewire.Receive(mesh, chivewire.KindSlotRefusal, c.onRefusal)
 	chivewire.Receive(mesh, chivewire.KindSlotPreempt, c.onPreempt)
-	mesh.OnLost(c.onLost)
+	mesh.OnLost(c.onPeerLost)
 	return c
 }
 
 // Start begins to look after requests without an answer.
 func (c *Client) Start(ctx context.Context) error {
-	c.duties.Begin(ctx, c.run)
+	c.background.Begin(ctx, c.run)
 	return nil
 }
 
 // Stop ends the goroutine.
 func (c *Client) Stop(context.Context) error {
-	c.duties.End()
+	c.background.End()
 	return nil
 }
 
@@ -131,34 +131,34 @@
 		table.byID[s.ID()] = s
 	}
 	c.table.Store(table)
-	c.place()
+	c.updatePlacement()
 }
 
-// place works out which node schedules each shard; it runs when members or shards change and not for each request. The lock keeps a placement from
+// updatePlacement works out which node schedules each shard; it runs when members or shards change and not for each request. The lock keeps a placement from
 // before a concurrent change from being stored last.
-func (c *Client) place() {
-	c.placing.Lock()
-	defer c.placing.Unlock()
+func (c *Client) updatePlacement() {
+	c.placementMu.Lock()
+	defer c.placementMu.Unlock()
 	table := c.table.Load()
 	keys := make([]chiveroute.Key, 0, len(table.byID))
 	for id, s := range table.byID {
 		keys = append(keys, chiveroute.NewKey(id, s.Region()))
 	}
-	c.places.Store(chiveroute.NewPlacement(keys, *c.members.Load()))
+	c.placement.Store(chiveroute.NewPlacement(keys, *c.members.Load()))
 }
 
 // SetMembers takes a change of the fleet and moves what waits or runs to the schedulers that follow.
 func (c *Client) SetMembers(members []chivemember.Member) {
 	before := c.members.Swap(&members)
-	c.place()
+	c.updatePlacement()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.trustNew(*before, members)
-	c.replace(time.Now())
+	c.clearNewSuspects(*before, members)
+	c.reassignSchedulers(time.Now())
 }
 
-// trustNew clears the suspicion of members that have just joined: it comes from a connection that failed before they were up.
-func (c *Client) trustNew(before, members []chivemember.Member) {
+// clearNewSuspects clears the suspicion of members that have just joined: it comes from a connection that failed before they were up.
+func (c *Client) clearNewSuspects(before, members []chivemember.Member) {
 	known := make(map[string]bool, len(before))
 	for _, m := range before {
 		known[m.Address] = true
@@ -171,10 +171,10 @@
 }
 
 // Acquire waits for a slot; the error is *RefusedError for a final no, or the context's.
-func (c *Client) Acquire(ctx context.Context, ask Ask) (*Slot, error) {
+func (c *Client) Acquire(ctx context.Context, req Ask) (*Slot, error) {
 	excluded := make(map[string]bool)
 	for {
-		p, err := c.submit(ask, excluded)
+		p, err := c.submit(req, excluded)
 		if err != nil {
 			return nil, err
 		}
@@ -183,8 +183,8 @@
 			return nil, err
 		}
 		if answer.grant != nil {
-			slot := c.hold(p, answer)
-			if c.residency(ask).Allows(p.shard.Region()) {
+			slot := c.registerSlot(p, answer)
+			if c.residency(req).Allows(p.shard.Region()) {
 				return slot, nil
 			}
 			// The configuration took the region away while the request waited.
@@ -192,84 +192,84 @@
 			continue
 		}
 		if answer.refusal.Reason != ReasonNoneUp && answer.refusal.Reason != ReasonFull {
-			return nil, refused(answer.refusal)
+			return nil, refusalError(answer.refusal)
 		}
 		excluded[p.shard.ID()] = true
-		if _, more := c.pick(ask, excluded); !more {
-			return nil, refused(answer.refusal)
+		if _, ok := c.pickShard(req, excluded); !ok {
+			return nil, refusalError(answer.refusal)
 		}
 	}
 }
 
-func refused(r *SlotRefusal) *RefusedError {
+func refusalError(r *SlotRefusal) *RefusedError {
 	return &RefusedError{Reason: r.Reason, RetryAfter: time.Duration(r.RetryAfterMs) * time.Millisecond}
 }
 
 // residency returns where a request may be served by the configuration in force.
-func (c *Client) residency(ask Ask) chiveresidency.Policy {
+func (c *Client) residency(req Ask) chiveresidency.Policy {
 	config := c.table.Load().config
 	if config == nil {
 		return chiveresidency.Policy{}
 	}
-	return config.Residency(ask.Request.Class, ask.Request.Team)
+	return config.Residency(req.Request.Class, req.Request.Team)
 }
 
-// pick chooses among the shards of this region first, then among the others that the request may be served in.
-func (c *Client) pick(ask Ask, excluded map[string]bool) (chiveroute.Shard, bool) {
-	var near, far []chiveroute.Shard
-	residency := c.residency(ask)
-	for _, s := range c.table.Load().byPool[ask.Pool] {
+// pickShard chooses among the shards of this region first, then among the others that the request may be served in.
+func (c *Client) pickShard(req Ask, excluded map[string]bool) (chiveroute.Shard, bool) {
+	var sameRegion, otherRegions []chiveroute.Shard
+	residency := c.residency(req)
+	for _, s := range c.table.Load().byPool[req.Pool] {
 		switch {
 		case !residency.Allows(s.Region()):
 		case s.Region() == c.region:
-			near = append(near, s)
+			sameRegion = append(sameRegion, s)
 		default:
-			far = append(far, s)
+			otherRegions = append(otherRegions, s)
 		}
 	}
-	if s, ok := c.choice.Pick(time.Now(), ask.Request.Prefix, near, excluded); ok {
+	if s, ok := c.shardChoice.Pick(time.Now(), req.Request.Prefix, sameRegion, excluded); ok {
 		return s, true
 	}
-	return c.choice.Pick(time.Now(), ask.Request.Prefix, far, excluded)
+	return c.shardChoice.Pick(time.Now(), req.Request.Prefix, otherRegions, excluded)
 }
 
-func (c *Client) submit(ask Ask, excluded map[string]bool) (*pending, error) {
-	shard, ok := c.pick(ask, excluded)
+func (c *Client) submit(req Ask, excluded map[string]bool) (*pendingRequest, error) {
+	shard, ok := c.pickShard(req, excluded)
 	if !ok {
-		return nil, fmt.Errorf("pool %s, allowed regions %s: %w", ask.Pool, c.residency(ask), ErrNoPool)
+		return nil, fmt.Errorf("pool %s, allowed regions %s: %w", req.Pool, c.residency(req), ErrNoPool)
 	}
-	request := ask.Request
-	request.Shard = shard.ID()
-	p := &pending{shard: shard, request: request, answer: make(chan pendingAnswer, 1)}
+	slotRequest := req.Request
+	slotRequest.Shard = shard.ID()
+	p := &pendingRequest{shard: shard, request: slotRequest, answer: make(chan slotAnswer, 1)}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pending[requestKey{request.ID, request.Attempt}] = p
-	c.send(time.Now(), p)
+	c.pending[attemptKey{slotRequest.ID, slotRequest.Attempt}] = p
+	c.sendRequest(time.Now(), p)
 	return p, nil
 }
 
-func (c *Client) await(ctx context.Context, p *pending) (pendingAnswer, error) {
+func (c *Client) await(ctx context.Context, p *pendingRequest) (slotAnswer, error) {
 	select {
 	case answer := <-p.answer:
 		return answer, nil
 	case <-ctx.Done():
 	}
 	c.mu.Lock()
-	delete(c.pending, requestKey{p.request.ID, p.request.Attempt})
+	delete(c.pending, attemptKey{p.request.ID, p.request.Attempt})
 	c.withdraw(p.scheduler, p)
 	c.mu.Unlock()
 	select {
 	case answer := <-p.answer:
 		// The answer came while giving up: a grant that nobody uses goes back at once.
 		if answer.grant != nil {
-			c.hold(p, answer).Done(Ending{Result: ResultReturned})
+			c.registerSlot(p, answer).Done(Ending{Result: ResultReturned})
 		}
 	default:
 	}
-	return pendingAnswer{}, fmt.Errorf("slot: %w", context.Cause(ctx))
+	return slotAnswer{}, fmt.Errorf("slot: %w", context.Cause(ctx))
 }
 
-func (c *Client) withdraw(scheduler string, p *pending) {
+func (c *Client) withdraw(scheduler string, p *pendingRequest) {
 	if scheduler == "" {
 		return
 	}
@@ -277,10 +277,10 @@
 	_ = c.mesh.Send(scheduler, chivewire.KindSlotWithdraw, SlotWithdraw{Shard: p.shard.ID(), ID: p.request.ID, Attempt: p.request.Attempt})
 }
 
-// send asks the shard's present scheduler; the caller holds the lock.
-func (c *Client) send(now time.Time, p *pending) {
+// sendRequest asks the shard's present scheduler; the caller holds the lock.
+func (c *Client) sendRequest(now time.Time, p *pendingRequest) {
 	p.scheduler = c.schedulerOf(now, p.shard)
-	p.asked, p.heard = now, false
+	p.sentAt, p.acknowledged = now, false
 	p.tries++
 	if p.scheduler == "" {
 		return
@@ -291,7 +291,7 @@
 
 // schedulerOf returns the peer address of the shard's first owner that this gateway does not suspect.
 func (c *Client) schedulerOf(now time.Time, shard chiveroute.Shard) string {
-	for _, m := range c.places.Load().Owners(shard.ID()) {
+	for _, m := range c.placement.Load().Owners(shard.ID()) {
 		if now.After(c.suspects[m.Address]) {
 			return m.Address
 		}
--- a/chiveschedule/endpoint.go
+++ b/chiveschedule/endpoint.go
@@ -7,130 +7,130 @@
 
 // endpoint is the ledger of one endpoint together with what its answers told of its health and pace.
 type endpoint struct {
-	plan      EndpointPlan
-	sequences int64
-	tokens    int64
-
-	pace     float64
-	first    float64
-	samples  int
-	lastUsed time.Time
-
-	failures  int
-	downUntil time.Time
-	leaving   time.Time
-	probing   bool
+	config         EndpointPlan
+	sequencesInUse int64
+	tokensInUse    int64
+
+	timePerTokenMs float64
+	firstTokenMs   float64
+	samples        int
+	lastUsed       time.Time
+
+	consecutiveFailures int
+	quarantinedUntil    time.Time
+	drainingUntil       time.Time
+	probeInFlight       bool
 }
 
 const (
-	paceWeight       = 0.2
-	paceSamples      = 4
-	stragglerFactor  = 2.5
-	paceForgotten    = 5 * time.Second
-	quarantineFirst  = 500 * time.Millisecond
-	quarantineMost   = 10 * time.Second
-	leavingKept      = time.Minute
-	settlingFraction = 0.5
+	ewmaWeight          = 0.2
+	minLatencySamples   = 4
+	stragglerFactor     = 2.5
+	stragglerRetryAfter = 5 * time.Second
+	minQuarantine       = 500 * time.Millisecond
+	maxQuarantine       = 10 * time.Second
+	drainingPeriod      = time.Minute
+	takeoverCapacity    = 0.5
 )
 
 func (e *endpoint) load() float64 {
-	if e.plan.Tokens == 0 {
+	if e.config.Tokens == 0 {
 		return 1
 	}
-	return max(float64(e.sequences)/float64(e.plan.Sequences), float64(e.tokens)/float64(e.plan.Tokens))
+	return max(float64(e.sequencesInUse)/float64(e.config.Sequences), float64(e.tokensInUse)/float64(e.config.Tokens))
 }
 
-// fits reports whether the ledger has room, within a fraction of the capacity.
-func (e *endpoint) fits(cost int64, fraction float64) bool {
-	sequences := max(int64(float64(e.plan.Sequences)*fraction), 1)
-	tokens := int64(float64(e.plan.Tokens) * fraction)
-	return e.sequences < sequences && (e.tokens+cost <= tokens || (e.sequences == 0 && cost <= e.plan.Tokens))
+// hasRoom reports whether the ledger has room, within a fraction of the capacity.
+func (e *endpoint) hasRoom(cost int64, fraction float64) bool {
+	sequences := max(int64(float64(e.config.Sequences)*fraction), 1)
+	tokens := int64(float64(e.config.Tokens) * fraction)
+	return e.sequencesInUse < sequences && (e.tokensInUse+cost <= tokens || (e.sequencesInUse == 0 && cost <= e.config.Tokens))
 }
 
-// up reports whether the endpoint may get work at all; after a quarantine one repeatable request at a time probes it.
-func (e *endpoint) up(now time.Time, repeatable bool) bool {
-	if now.Before(e.downUntil) || now.Before(e.leaving) {
+// available reports whether the endpoint may get work at all; after a quarantine one repeatable request at a time probes it.
+func (e *endpoint) available(now time.Time, repeatable bool) bool {
+	if now.Before(e.quarantinedUntil) || now.Before(e.drainingUntil) {
 		return false
 	}
-	if e.failures > 0 {
-		return repeatable && !e.probing
+	if e.consecutiveFailures > 0 {
+		return repeatable && !e.probeInFlight
 	}
 	return true
 }
 
-func (e *endpoint) take(now time.Time, cost int64) {
-	e.sequences++
-	e.tokens += cost
+func (e *endpoint) reserve(now time.Time, cost int64) {
+	e.sequencesInUse++
+	e.tokensInUse += cost
 	e.lastUsed = now
-	e.probing = e.failures > 0
+	e.probeInFlight = e.consecutiveFailures > 0
 }
 
 func (e *endpoint) release(cost int64) {
-	e.sequences = max(e.sequences-1, 0)
-	e.tokens = max(e.tokens-cost, 0)
+	e.sequencesInUse = max(e.sequencesInUse-1, 0)
+	e.tokensInUse = max(e.tokensInUse-cost, 0)
 }
 
-// succeed ends a quarantine.
-func (e *endpoint) succeed() {
-	e.failures = 0
-	e.probing = false
+// recordSuccess ends a quarantine.
+func (e *endpoint) recordSuccess() {
+	e.consecutiveFailures = 0
+	e.probeInFlight = false
 }
 
-// fail quarantines the endpoint for a time that doubles with each failure in a row.
-func (e *endpoint) fail(now time.Time) {
-	e.probing = false
-	pause := min(quarantineFirst<<min(e.failures, 10), quarantineMost)
-	e.failures++
-	e.downUntil = now.Add(pause)
+// recordFailure quarantines the endpoint for a time that doubles with each failure in a row.
+func (e *endpoint) recordFailure(now time.Time) {
+	e.probeInFlight = false
+	quarantine := min(minQuarantine<<min(e.consecutiveFailures, 10), maxQuarantine)
+	e.consecutiveFailures++
+	e.quarantinedUntil = now.Add(quarantine)
 }
 
-func (e *endpoint) leave(now time.Time) {
-	e.leaving = now.Add(leavingKept)
+func (e *endpoint) markDraining(now time.Time) {
+	e.drainingUntil = now.Add(drainingPeriod)
 }
 
-// observe notes the time to the first token and the time a token, in milliseconds.
-func (e *endpoint) observe(now time.Time, firstMs float64, paceMs float64) {
+// recordLatency notes the time to the first token and the time a token, in milliseconds.
+func (e *endpoint) recordLatency(now time.Time, observedFirstTokenMs float64, observedTimePerTokenMs float64) {
 	e.lastUsed = now
-	if firstMs > 0 {
-		e.first = blend(e.first, firstMs)
+	if observedFirstTokenMs > 0 {
+		e.firstTokenMs = ewma(e.firstTokenMs, observedFirstTokenMs)
 	}
-	if paceMs > 0 {
-		e.pace = blend(e.pace, paceMs)
+	if observedTimePerTokenMs > 0 {
+		e.timePerTokenMs = ewma(e.timePerTokenMs, observedTimePerTokenMs)
 		e.samples++
 	}
 }
 
-func blend(old, sample float64) float64 {
-	if old == 0 {
+func ewma(previous, sample float64) float64 {
+	if previous == 0 {
 		return sample
 	}
-	return old + paceWeight*(sample-old)
+	return previous + ewmaWeight*(sample-previous)
 }
 
-// forgive moves an endpoint's pace towards the median after a while without samples, so that a straggler that
+// decayStragglerLatency moves an endpoint's pace towards the median after a while without samples, so that a straggler that
 // nobody uses any more is tried again instead of being avoided for good.
-func (e *endpoint) forgive(now time.Time, median float64) {
-	if median > 0 && e.pace > median && now.Sub(e.lastUsed) > paceForgotten {
-		e.pace = (e.pace + median) / 2
+func (e *endpoint) decayStragglerLatency(now time.Time, median float64) {
+	if median > 0 && e.timePerTokenMs > median && now.Sub(e.lastUsed) > stragglerRetryAfter {
+		e.timePerTokenMs = (e.timePerTokenMs + median) / 2
 		e.lastUsed = now
 	}
 }
 
-func (e *endpoint) straggles(median float64) bool {
-	return median > 0 && e.samples >= paceSamples && e.pace > stragglerFactor*median
+func (e *endpoint) isStraggler(median float64) bool {
+	return median > 0 && e.samples >= minLatencySamples && e.timePerTokenMs > stragglerFactor*median
 }
 
-// medianPace returns the median time a token over the endpoints that have samples, in milliseconds; 0 while fewer than two have.
-func medianPace(endpoints []*endpoint) float64 {
-	paces := make([]float64, 0, len(endpoints))
+// medianTimePerToken returns the median time a token over the endpoints that have samples, in milliseconds; 0 while fewer than two have.
+func medianTimePerToken(endpoints []*endpoint) float64 {
+	samples := make([]float64, 0, len(endpoints))
 	for _, e := range endpoints {
-		if e.samples >= paceSamples {
-			paces = append(paces, e.pace)
+		if e.samples >= minLatencySamples {
+			samples = append(samples, e.timePerTokenMs)
 		}
 	}
-	if len(paces) < 2 {
+	if len(samples) < 2 {
 		return 0
 	}
-	sort.Float64s(paces)
-	return paces[(len(paces)-1)/2]
+	sort.Float64s(samples)
+	return samples[(len(samples)-1)/2]
 }
--- a/chiveschedule/estimate.go
+++ b/chiveschedule/estimate.go
@@ -6,95 +6,95 @@
 
 // Estimates learns how long outputs are, by class and team, since nobody knows a length beforehand.
 type Estimates struct {
-	byTeam  map[string]*length
-	byClass map[string]*length
+	byTeam  map[string]*lengthStats
+	byClass map[string]*lengthStats
 }
 
-type length struct {
-	high float64
-	mean float64
-	seen int
+type lengthStats struct {
+	quantile float64
+	mean     float64
+	samples  int
 }
 
 const (
-	highQuantile  = 0.8
-	quantileStep  = 0.08
-	meanWeight    = 0.05
-	trustAfter    = 20
-	leastLength   = 1
-	keySeparator  = "\x00"
-	rateWindow    = 2 * time.Second
-	rateForgotten = 10 * time.Second
+	lengthQuantile   = 0.8
+	quantileStep     = 0.08
+	meanWeight       = 0.05
+	minLengthSamples = 20
+	minLength        = 1
+	keySeparator     = "\x00"
+	rateWindow       = 2 * time.Second
+	rateResetAfter   = 10 * time.Second
 )
 
 // NewEstimates returns estimates that know nothing yet.
 func NewEstimates() *Estimates {
-	return &Estimates{byTeam: make(map[string]*length), byClass: make(map[string]*length)}
+	return &Estimates{byTeam: make(map[string]*lengthStats), byClass: make(map[string]*lengthStats)}
 }
 
 // Observe notes the output length of a finished request.
 func (e *Estimates) Observe(class, team string, tokens int64) {
-	observe(e.byClass, class, tokens)
-	observe(e.byTeam, class+keySeparator+team, tokens)
+	recordLength(e.byClass, class, tokens)
+	recordLength(e.byTeam, class+keySeparator+team, tokens)
 }
 
-func observe(lengths map[string]*length, key string, tokens int64) {
-	l, ok := lengths[key]
+func recordLength(stats map[string]*lengthStats, key string, tokens int64) {
+	s, ok := stats[key]
 	if !ok {
-		l = &length{high: float64(tokens), mean: float64(tokens)}
-		lengths[key] = l
+		s = &lengthStats{quantile: float64(tokens), mean: float64(tokens)}
+		stats[key] = s
 	}
-	l.add(float64(tokens))
+	s.add(float64(tokens))
 }
 
 // add moves the running quantile by a step in proportion to itself: up by q when above it, down by 1-q when below.
-func (l *length) add(tokens float64) {
-	l.seen++
-	l.mean += meanWeight * (tokens - l.mean)
-	step := quantileStep * max(l.high, leastLength)
-	if tokens > l.high {
-		l.high += step * highQuantile
+func (s *lengthStats) add(tokens float64) {
+	s.samples++
+	s.mean += meanWeight * (tokens - s.mean)
+	step := quantileStep * max(s.quantile, minLength)
+	if tokens > s.quantile {
+		s.quantile += step * lengthQuantile
 	} else {
-		l.high -= step * (1 - highQuantile)
+		s.quantile -= step * (1 - lengthQuantile)
 	}
 }
 
 // Of returns the high quantile and the mean of the output in tokens for a class and team, or the class's prior.
 func (e *Estimates) Of(class *ClassPlan, team string) (high, mean int64) {
-	for _, l := range []*length{e.byTeam[class.name+keySeparator+team], e.byClass[class.name]} {
-		if l != nil && l.seen >= trustAfter {
-			return max(int64(l.high), leastLength), max(int64(l.mean), leastLength)
+	for _, s := range []*lengthStats{e.byTeam[class.name+keySeparator+team], e.byClass[class.name]} {
+		if s != nil && s.samples >= minLengthSamples {
+			return max(int64(s.quantile), minLength), max(int64(s.mean), minLength)
 		}
 	}
-	return class.expected, class.expected
+	return class.expectedTokens, class.expectedTokens
 }
 
-// rate measures how many tokens of finished work leave a shard a second.
-type rate struct {
-	since time.Time
-	sum   float64
-	value float64
+// tokenRate measures how many tokens of finished work leave a shard a second.
+type tokenRate struct {
+	windowStart     time.Time
+	windowTokens    float64
+	tokensPerSecond float64
 }
 
-func (r *rate) add(now time.Time, tokens int64) {
-	if r.since.IsZero() {
-		r.since = now
+func (r *tokenRate) add(now time.Time, tokens int64) {
+	if r.windowStart.IsZero() {
+		r.windowStart = now
 	}
-	r.sum += float64(tokens)
-	r.roll(now)
+	r.windowTokens += float64(tokens)
+	r.advanceWindow(now)
 }
 
-func (r *rate) roll(now time.Time) {
-	elapsed := now.Sub(r.since)
-	if r.since.IsZero() || elapsed < rateWindow {
+func (r *tokenRate) advanceWindow(now time.Time) {
+	elapsed := now.Sub(r.windowStart)
+	if r.windowStart.IsZero() || elapsed < rateWindow {
 		return
 	}
-	current := r.sum / elapsed.Seconds()
-	if r.value == 0 || elapsed > rateForgotten {
-		r.value = current
+	current := r.windowTokens / elapsed.Seconds()
+	if r.tokensPerSecond == 0 || elapsed > rateResetAfter {
+		r.tokensPerSecond = current
 	} else {
-		r.value = (r.value + current) / 2
+		r.tokensPerSecond = (r.tokensPerSecond + current) / 2
 	}
-	r.since = now
-	r.sum = 0
+	r.windowStart = now
+	r.windowTokens = 0
 }
--- a/chiveschedule/owner.go
+++ b/chiveschedule/owner.go
@@ -19,47 +19,47 @@
 const OwnerName = "scheduler"
 
 const (
-	ownerRing    = 8192
-	ownerTick    = 100 * time.Millisecond
-	shardKeptFor = time.Minute
-	dumpWait     = time.Second
+	inboxCapacity = 8192
+	tickInterval  = 100 * time.Millisecond
+	idleShardTTL  = time.Minute
+	dumpTimeout   = time.Second
 )
 
 // Owner schedules the shards that gateways bring to this node: one goroutine owns them all, fed by a ring.
 type Owner struct {
-	mesh        *chivewire.Mesh
-	logger      *slog.Logger
-	incarnation int64
-	inbox       *chivering.Ring[func(now time.Time)]
-	shards      map[string]*kept
-	plans       map[string]*Plan
-	addresses   map[string][]string
-	gateways    map[string]bool
-	duties      chivekernel.Duties
+	mesh               *chivewire.Mesh
+	logger             *slog.Logger
+	incarnation        int64
+	inbox              *chivering.Ring[func(now time.Time)]
+	shards             map[string]*ownedShard
+	configs            map[string]*Plan
+	endpointsByAddress map[string][]string
+	gateways           map[string]bool
+	background         chivekernel.Duties
 }
 
-type kept struct {
-	shard *Shard
-	used  time.Time
+type ownedShard struct {
+	shard    *Shard
+	lastUsed time.Time
 }
 
 // NewOwner returns the scheduler side of a node.
 func NewOwner(mesh *chivewire.Mesh, logger *slog.Logger) *Owner {
-	k := &Owner{
-		mesh: mesh, logger: logger, incarnation: time.Now().UnixNano(), inbox: chivering.New[func(time.Time)](ownerRing),
-		shards: make(map[string]*kept), plans: make(map[string]*Plan), addresses: make(map[string][]string), gateways: make(map[string]bool),
+	sched := &Owner{
+		mesh: mesh, logger: logger, incarnation: time.Now().UnixNano(), inbox: chivering.New[func(time.Time)](inboxCapacity),
+		shards: make(map[string]*ownedShard), configs: make(map[string]*Plan), endpointsByAddress: make(map[string][]string), gateways: make(map[string]bool),
 	}
-	handle(k, chivewire.KindSlotRequest, func(now time.Time, s *Shard, from string, m SlotRequest) []Decision { return s.Submit(now, from, m) })
-	handle(k, chivewire.KindSlotProgress, func(now time.Time, s *Shard, _ string, m SlotProgress) []Decision {
+	receiveForShard(sched, chivewire.KindSlotRequest, func(now time.Time, s *Shard, from string, m SlotRequest) []Decision { return s.Submit(now, from, m) })
+	receiveForShard(sched, chivewire.KindSlotProgress, func(now time.Time, s *Shard, _ string, m SlotProgress) []Decision {
 		s.Progress(now, m)
 		return nil
 	})
-	handle(k, chivewire.KindSlotDone, func(now time.Time, s *Shard, _ string, m SlotDone) []Decision { return s.Finish(now, m) })
-	handle(k, chivewire.KindSlotWithdraw, func(now time.Time, s *Shard, _ string, m SlotWithdraw) []Decision {
+	receiveForShard(sched, chivewire.KindSlotDone, func(now time.Time, s *Shard, _ string, m SlotDone) []Decision { return s.Finish(now, m) })
+	receiveForShard(sched, chivewire.KindSlotWithdraw, func(now time.Time, s *Shard, _ string, m SlotWithdraw) []Decision {
 		return s.Withdraw(now, m.ID, m.Attempt)
 	})
-	handle(k, chivewire.KindSlotAdopt, func(now time.Time, s *Shard, from string, m SlotAdopt) []Decision { return s.Adopt(now, from, m) })
-	return k
+	receiveForShard(sched, chivewire.KindSlotAdopt, func(now time.Time, s *Shard, from string, m SlotAdopt) []Decision { return s.Adopt(now, from, m) })
+	return sched
 }
 
 // shardMessage is a message that names the shard it is about.
@@ -73,84 +73,84 @@
 func (m SlotWithdraw) shardID() string { return m.Shard }
 func (m SlotAdopt) shardID() string    { return m.Shard }
 
-// handle passes messages of one kind to the shard they name, on the owner's goroutine.
-func handle[M shardMessage](k *Owner, kind chivewire.Kind, decide func(now time.Time, s *Shard, from string, m M) []Decision) {
-	chivewire.Receive(k.mesh, kind, func(from string, message M) {
+// receiveForShard passes messages of one kind to the shard they name, on the owner's goroutine.
+func receiveForShard[M shardMessage](sched *Owner, kind chivewire.Kind, decide func(now time.Time, s *Shard, from string, m M) []Decision) {
+	chivewire.Receive(sched.mesh, kind, func(from string, message M) {
 		// A full ring loses the message. A request for a slot is asked again when no word comes, and a lost return
 		// of a slot is mended by the gateway's next statement of what it runs.
-		k.inbox.Offer(func(now time.Time) {
-			k.gateways[from] = true
-			if s := k.shard(now, message.shardID()); s != nil {
-				k.send(decide(now, s, from, message))
+		sched.inbox.Offer(func(now time.Time) {
+			sched.gateways[from] = true
+			if s := sched.takeShard(now, message.shardID()); s != nil {
+				sched.sendDecisions(decide(now, s, from, message))
 			}
 		})
 	})
 }
 
 // Start begins to schedule.
-func (k *Owner) Start(ctx context.Context) error {
-	k.duties.Begin(ctx, k.run)
+func (sched *Owner) Start(ctx context.Context) error {
+	sched.background.Begin(ctx, sched.run)
 	return nil
 }
 
 // Stop ends the goroutine.
-func (k *Owner) Stop(context.Context) error {
-	k.duties.End()
+func (sched *Owner) Stop(context.Context) error {
+	sched.background.End()
 	return nil
 }
 
 // SetConfig takes a configuration that came into force.
-func (k *Owner) SetConfig(config *chiveconfig.Config) {
+func (sched *Owner) SetConfig(config *chiveconfig.Config) {
 	shards := chiveroute.Shards(config)
-	k.inbox.Offer(func(now time.Time) {
-		k.plans = make(map[string]*Plan, len(shards))
-		k.addresses = make(map[string][]string)
+	sched.inbox.Offer(func(now time.Time) {
+		sched.configs = make(map[string]*Plan, len(shards))
+		sched.endpointsByAddress = make(map[string][]string)
 		for _, s := range shards {
-			k.plans[s.ID()] = NewPlan(config, s.Endpoints())
+			sched.configs[s.ID()] = NewPlan(config, s.Endpoints())
 			for _, e := range s.Endpoints() {
-				k.addresses[e.Address] = []string{s.ID(), e.Name}
+				sched.endpointsByAddress[e.Address] = []string{s.ID(), e.Name}
 			}
 		}
-		for id, held := range k.shards {
-			if plan, ok := k.plans[id]; ok {
-				held.shard.SetPlan(now, plan)
+		for id, owned := range sched.shards {
+			if config, ok := sched.configs[id]; ok {
+				owned.shard.SetPlan(now, config)
 			} else {
-				k.send(held.shard.Close())
-				delete(k.shards, id)
+				sched.sendDecisions(owned.shard.Close())
+				delete(sched.shards, id)
 			}
 		}
 	})
 }
 
 // SetMembers takes a change of the fleet: what dead gateways held is freed.
-func (k *Owner) SetMembers(members []chivemember.Member) {
+func (sched *Owner) SetMembers(members []chivemember.Member) {
 	live := make(map[string]bool, len(members))
 	for _, m := range members {
 		live[m.Address] = true
 	}
-	k.inbox.Offer(func(now time.Time) {
-		for gateway := range k.gateways {
+	sched.inbox.Offer(func(now time.Time) {
+		for gateway := range sched.gateways {
 			if live[gateway] {
 				continue
 			}
-			delete(k.gateways, gateway)
-			for _, held := range k.shards {
-				k.send(held.shard.Forget(now, gateway))
+			delete(sched.gateways, gateway)
+			for _, owned := range sched.shards {
+				sched.sendDecisions(owned.shard.Forget(now, gateway))
 			}
 		}
 	})
 }
 
 // SetLeaving takes the addresses of endpoints that take no new work.
-func (k *Owner) SetLeaving(addresses []string) {
-	k.inbox.Offer(func(now time.Time) {
+func (sched *Owner) SetLeaving(addresses []string) {
+	sched.inbox.Offer(func(now time.Time) {
 		for _, address := range addresses {
-			place, ok := k.addresses[address]
+			location, ok := sched.endpointsByAddress[address]
 			if !ok {
 				continue
 			}
-			if held, ok := k.shards[place[0]]; ok {
-				held.shard.Leaving(now, place[1])
+			if owned, ok := sched.shards[location[0]]; ok {
+				owned.shard.Leaving(now, location[1])
 			}
 		}
 	})
@@ -167,12 +167,12 @@
 }
 
 // Dump returns the state of every shard that this node schedules.
-func (k *Owner) Dump() any {
+func (sched *Owner) Dump() any {
 	states := make(chan []ShardState, 1)
-	k.inbox.Offer(func(now time.Time) {
-		list := make([]ShardState, 0, len(k.shards))
-		for id, held := range k.shards {
-			s := held.shard
+	sched.inbox.Offer(func(now time.Time) {
+		list := make([]ShardState, 0, len(sched.shards))
+		for id, owned := range sched.shards {
+			s := owned.shard
 			list = append(list, ShardState{id, s.Waiting(), s.Running(), s.LoadPercent(), s.Counts(), s.Endpoints(now)})
 		}
 		states <- list
@@ -180,66 +180,66 @@
 	dump := struct {
 		Shards []ShardState    `json:"shards"`
 		Ring   chivering.Depth `json:"ring"`
-	}{Ring: k.inbox.Depth()}
+	}{Ring: sched.inbox.Depth()}
 	select {
 	case dump.Shards = <-states:
-	case <-time.After(dumpWait):
+	case <-time.After(dumpTimeout):
 	}
 	return dump
 }
 
-func (k *Owner) run(ctx context.Context) {
-	tick := time.NewTicker(ownerTick)
+func (sched *Owner) run(ctx context.Context) {
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case act := <-k.inbox.Ready():
-			act(time.Now())
+		case event := <-sched.inbox.Ready():
+			event(time.Now())
 		case <-tick.C:
-			k.tick(time.Now())
+			sched.tick(time.Now())
 		}
 	}
 }
 
-func (k *Owner) tick(now time.Time) {
-	for id, held := range k.shards {
-		k.send(held.shard.Tick(now))
-		if held.shard.Waiting()+held.shard.Running() == 0 && now.Sub(held.used) > shardKeptFor {
-			delete(k.shards, id)
+func (sched *Owner) tick(now time.Time) {
+	for id, owned := range sched.shards {
+		sched.sendDecisions(owned.shard.Tick(now))
+		if owned.shard.Waiting()+owned.shard.Running() == 0 && now.Sub(owned.lastUsed) > idleShardTTL {
+			delete(sched.shards, id)
 		}
 	}
 }
 
-// shard returns the shard, taking it over when this node did not have it; nil for one that the configuration does not know.
-func (k *Owner) shard(now time.Time, id string) *Shard {
-	held, ok := k.shards[id]
+// takeShard returns the takeShard, taking it over when this node did not have it; nil for one that the configuration does not know.
+func (sched *Owner) takeShard(now time.Time, id string) *Shard {
+	owned, ok := sched.shards[id]
 	if !ok {
-		plan, known := k.plans[id]
+		config, known := sched.configs[id]
 		if !known {
 			return nil
 		}
-		held = &kept{shard: NewShard(id, k.incarnation, plan, now)}
-		k.shards[id] = held
-		chiveevent.SchedulerTaken.Log(context.Background(), k.logger, slog.String("shard", id))
+		owned = &ownedShard{shard: NewShard(id, sched.incarnation, config, now)}
+		sched.shards[id] = owned
+		chiveevent.SchedulerTaken.Log(context.Background(), sched.logger, slog.String("shard", id))
 	}
-	held.used = now
-	return held.shard
+	owned.lastUsed = now
+	return owned.shard
 }
 
-func (k *Owner) send(decisions []Decision) {
+func (sched *Owner) sendDecisions(decisions []Decision) {
 	for _, d := range decisions {
 		// A message that a full ring does not take is lost; the gateway asks again when no word comes.
 		switch {
 		case d.Grant != nil:
-			_ = k.mesh.Send(d.Gateway, chivewire.KindSlotGrant, d.Grant)
+			_ = sched.mesh.Send(d.Gateway, chivewire.KindSlotGrant, d.Grant)
 		case d.Queued != nil:
-			_ = k.mesh.Send(d.Gateway, chivewire.KindSlotQueued, d.Queued)
+			_ = sched.mesh.Send(d.Gateway, chivewire.KindSlotQueued, d.Queued)
 		case d.Refusal != nil:
-			_ = k.mesh.Send(d.Gateway, chivewire.KindSlotRefusal, d.Refusal)
+			_ = sched.mesh.Send(d.Gateway, chivewire.KindSlotRefusal, d.Refusal)
 		case d.Preempt != nil:
-			_ = k.mesh.Send(d.Gateway, chivewire.KindSlotPreempt, d.Preempt)
+			_ = sched.mesh.Send(d.Gateway, chivewire.KindSlotPreempt, d.Preempt)
 		}
 	}
 }
--- a/chiveschedule/plan.go
+++ b/chiveschedule/plan.go
@@ -17,13 +17,13 @@
 
 // ClassPlan is a class as the scheduler sees it.
 type ClassPlan struct {
-	name       string
-	tier       int
-	firstToken time.Duration
-	deadline   time.Duration
-	protected  bool
-	minShare   float64
-	expected   int64
+	name             string
+	tier             int
+	firstTokenTarget time.Duration
+	deadline         time.Duration
+	protected        bool
+	minShare         float64
+	expectedTokens   int64
 }
 
 // EndpointPlan is an endpoint as the scheduler sees it, its capacity in sequences and tokens in flight.
@@ -36,7 +36,7 @@
 
 const (
 	defaultSequences = 16
-	leastShare       = 0.01
+	minClassShare    = 0.01
 	percent          = 100
 )
 
@@ -49,8 +49,8 @@
 	for i := range config.Classes {
 		c := &config.Classes[i]
 		p.classes[c.Name] = &ClassPlan{
-			name: c.Name, tier: config.TierRank(c.Tier), firstToken: c.FirstToken(), deadline: c.Deadline(),
-			protected: c.Protected, expected: c.ExpectedTokens, minShare: max(float64(c.MinSharePercent)/percent, leastShare),
+			name: c.Name, tier: config.TierRank(c.Tier), firstTokenTarget: c.FirstToken(), deadline: c.Deadline(),
+			protected: c.Protected, expectedTokens: c.ExpectedTokens, minShare: max(float64(c.MinSharePercent)/percent, minClassShare),
 		}
 	}
 	for i := range config.Teams {
@@ -79,7 +79,7 @@
 		return c
 	}
 	// A gateway one configuration ahead may name a class that this node does not know yet; it waits behind all known ones.
-	return &ClassPlan{name: name, tier: max(p.tiers-1, 0), firstToken: time.Minute, deadline: time.Minute, expected: unknownClassTokens, minShare: leastShare}
+	return &ClassPlan{name: name, tier: max(p.tiers-1, 0), firstTokenTarget: time.Minute, deadline: time.Minute, expectedTokens: unknownClassTokens, minShare: minClassShare}
 }
 
 const unknownClassTokens = 256
--- a/chiveschedule/prefix.go
+++ b/chiveschedule/prefix.go
@@ -4,44 +4,44 @@
 	"container/list"
 )
 
-// prefixes remembers which endpoint last got each prompt prefix, the most recently used ones only.
-type prefixes struct {
-	most  int
-	byKey map[uint64]*list.Element
-	order *list.List
+// prefixIndex remembers which endpoint last got each prompt prefix, the most recently used ones only.
+type prefixIndex struct {
+	capacity int
+	byPrefix map[uint64]*list.Element
+	recency  *list.List
 }
 
-type prefixPlace struct {
+type prefixEntry struct {
 	prefix   uint64
 	endpoint string
 }
 
-func newPrefixes(most int) *prefixes {
-	return &prefixes{most: most, byKey: make(map[uint64]*list.Element), order: list.New()}
+func newPrefixIndex(capacity int) *prefixIndex {
+	return &prefixIndex{capacity: capacity, byPrefix: make(map[uint64]*list.Element), recency: list.New()}
 }
 
-func (p *prefixes) get(prefix uint64) string {
-	element, ok := p.byKey[prefix]
+func (p *prefixIndex) get(prefix uint64) string {
+	element, ok := p.byPrefix[prefix]
 	if !ok {
 		return ""
 	}
-	place, _ := element.Value.(prefixPlace)
-	return place.endpoint
+	entry, _ := element.Value.(prefixEntry)
+	return entry.endpoint
 }
 
-func (p *prefixes) put(prefix uint64, endpoint string) {
+func (p *prefixIndex) put(prefix uint64, endpoint string) {
 	if prefix == 0 {
 		return
 	}
-	if element, ok := p.byKey[prefix]; ok {
-		element.Value = prefixPlace{prefix, endpoint}
-		p.order.MoveToFront(element)
+	if element, ok := p.byPrefix[prefix]; ok {
+		element.Value = prefixEntry{prefix, endpoint}
+		p.recency.MoveToFront(element)
 		return
 	}
-	p.byKey[prefix] = p.order.PushFront(prefixPlace{prefix, endpoint})
-	if p.order.Len() > p.most {
-		oldest := p.order.Back()
-		place, _ := p.order.Remove(oldest).(prefixPlace)
-		delete(p.byKey, place.prefix)
+	p.byPrefix[prefix] = p.recency.PushFront(prefixEntry{prefix, endpoint})
+	if p.recency.Len() > p.capacity {
+		oldest := p.recency.Back()
+		entry, _ := p.recency.Remove(oldest).(prefixEntry)
+		delete(p.byPrefix, entry.prefix)
 	}
 }
--- a/chiveschedule/queue.go
+++ b/chiveschedule/queue.go
@@ -46,7 +46,7 @@
 
 // PolicyNames lists the queue policies that a configuration can name.
 func PolicyNames() []string {
-	table := Policies[*waiting]()
+	table := Policies[*waitingRequest]()
 	names := make([]string, 0, len(table))
 	for name := range table {
 		names = append(names, name)
--- a/chiveschedule/queue_fifo.go
+++ b/chiveschedule/queue_fifo.go
@@ -18,9 +18,9 @@
 }
 
 func (q *fifoQueue[T]) Next(_ time.Time, accept func(T) bool) (T, bool) {
-	var none T
+	var zero T
 	if len(q.items) == 0 || !accept(q.items[0]) {
-		return none, false
+		return zero, false
 	}
 	return q.items[0], true
 }
--- a/chiveschedule/queue_slack.go
+++ b/chiveschedule/queue_slack.go
@@ -15,60 +15,60 @@
 //     that can still meet it come first. Were the ones that already missed it served first, all behind them would
 //     miss it too: in a burst a whole class would be served, and every request of it late.
 type slackQueue[T Item] struct {
-	shares  Shares
-	tiers   []*tierState[T]
-	classes map[string]*classState[T]
-	total   decayed
-	count   int
+	shares       Shares
+	tiers        []*tierState[T]
+	classes      map[string]*classState[T]
+	totalGranted decayingSum
+	count        int
 }
 
 // A tierState holds the waiting requests of one tier, by team and class.
 type tierState[T Item] struct {
-	teams map[string]*teamState[T]
-	floor float64
-	count int
+	teams       map[string]*teamState[T]
+	virtualTime float64
+	count       int
 }
 
 // A teamState holds a team's requests in a tier and the work it was granted, divided by its weight.
 type teamState[T Item] struct {
-	lanes  map[string]*lane[T]
-	served float64
-	count  int
+	subqueues map[string]*subqueue[T]
+	served    float64
+	count     int
 }
 
-// A lane is the line of one class and team in order of due time, which is the order of arrival.
-type lane[T Item] struct {
+// A subqueue is the line of one class and team in order of due time, which is the order of arrival.
+type subqueue[T Item] struct {
 	items []T
 }
 
 type classState[T Item] struct {
-	granted decayed
+	granted decayingSum
 	waiting int
 	tier    int
 }
 
-// decayed is a sum that forgets over guaranteeWindow.
-type decayed struct {
-	sum float64
-	at  time.Time
+// decayingSum is a sum that forgets over guaranteeWindow.
+type decayingSum struct {
+	sum     float64
+	updated time.Time
 }
 
 const (
-	guaranteeWindow = 10 * time.Second
-	teamQuantum     = 4000.0
-	guaranteeSlack  = 1.0
+	shareDecayTime = 10 * time.Second
+	teamQuantum    = 4000.0
+	starvingBelow  = 1.0
 )
 
-func (d *decayed) value(now time.Time) float64 {
-	if d.at.IsZero() {
+func (d *decayingSum) value(now time.Time) float64 {
+	if d.updated.IsZero() {
 		return 0
 	}
-	return d.sum * math.Exp(-now.Sub(d.at).Seconds()/guaranteeWindow.Seconds())
+	return d.sum * math.Exp(-now.Sub(d.updated).Seconds()/shareDecayTime.Seconds())
 }
 
-func (d *decayed) add(now time.Time, amount float64) {
+func (d *decayingSum) add(now time.Time, amount float64) {
 	d.sum = d.value(now) + amount
-	d.at = now
+	d.updated = now
 }
 
 func newSlackQueue[T Item](shares Shares) Queue[T] {
@@ -82,44 +82,44 @@
 func (q *slackQueue[T]) Len() int { return q.count }
 
 func (q *slackQueue[T]) Push(_ time.Time, item T) {
-	place, class, team := item.Place()
-	tier := q.tier(place)
-	member := tier.team(team)
-	if member.count == 0 {
+	rank, class, team := item.Place()
+	tier := q.tier(rank)
+	teamQueue := tier.team(team)
+	if teamQueue.count == 0 {
 		// A team that was away must not return with credit for the time it asked for nothing.
-		member.served = max(member.served, tier.floor)
+		teamQueue.served = max(teamQueue.served, tier.virtualTime)
 	}
-	member.lane(class).insert(item)
-	member.count++
+	teamQueue.subqueue(class).insert(item)
+	teamQueue.count++
 	tier.count++
 	q.count++
-	state := q.class(class)
-	state.waiting++
-	state.tier = place
+	classQueue := q.class(class)
+	classQueue.waiting++
+	classQueue.tier = rank
 }
 
 // insert keeps a lane in order of due time; only a resubmitted request is ever older than the last.
-func (l *lane[T]) insert(item T) {
-	i := len(l.items)
-	for i > 0 && l.items[i-1].Due().After(item.Due()) {
+func (s *subqueue[T]) insert(item T) {
+	i := len(s.items)
+	for i > 0 && s.items[i-1].Due().After(item.Due()) {
 		i--
 	}
-	l.items = append(l.items, item)
-	copy(l.items[i+1:], l.items[i:])
-	l.items[i] = item
+	s.items = append(s.items, item)
+	copy(s.items[i+1:], s.items[i:])
+	s.items[i] = item
 }
 
 // next returns the earliest due item that is not late yet, or the oldest when all are; the lane is in order of due time.
-func (l *lane[T]) next(now time.Time) T {
-	i := sort.Search(len(l.items), func(i int) bool { return !l.items[i].Due().Before(now) })
-	if i == len(l.items) {
+func (s *subqueue[T]) next(now time.Time) T {
+	i := sort.Search(len(s.items), func(i int) bool { return !s.items[i].Due().Before(now) })
+	if i == len(s.items) {
 		i = 0
 	}
-	return l.items[i]
+	return s.items[i]
 }
 
 func (q *slackQueue[T]) Next(now time.Time, accept func(T) bool) (T, bool) {
-	if class, ok := q.starving(now); ok {
+	if class, ok := q.mostStarvedClass(now); ok {
 		if item, found := q.tier(q.classes[class].tier).next(now, class, accept); found {
 			return item, true
 		}
@@ -132,26 +132,26 @@
 			return item, true
 		}
 	}
-	var none T
-	return none, false
+	var zero T
+	return zero, false
 }
 
-// starving returns the waiting class that is furthest below its guaranteed share of the recent work.
-func (q *slackQueue[T]) starving(now time.Time) (string, bool) {
-	worst, name := guaranteeSlack, ""
-	total := q.total.value(now)
+// mostStarvedClass returns the waiting class that is furthest below its guaranteed share of the recent work.
+func (q *slackQueue[T]) mostStarvedClass(now time.Time) (string, bool) {
+	lowest, name := starvingBelow, ""
+	recent := q.totalGranted.value(now)
 	for class, state := range q.classes {
 		if state.waiting == 0 {
 			continue
 		}
-		owed := q.shares.MinShare(class) * total
-		got := state.granted.value(now)
-		if owed <= 0 || got >= owed {
+		guaranteed := q.shares.MinShare(class) * recent
+		received := state.granted.value(now)
+		if guaranteed <= 0 || received >= guaranteed {
 			continue
 		}
-		ratio := got / owed
-		if ratio < worst || (ratio == worst && class < name) {
-			worst, name = ratio, class
+		ratio := received / guaranteed
+		if ratio < lowest || (ratio == lowest && class < name) {
+			lowest, name = ratio, class
 		}
 	}
 	return name, name != ""
@@ -161,16 +161,16 @@
 func (t *tierState[T]) next(now time.Time, class string, accept func(T) bool) (T, bool) {
 	var best T
 	found := false
-	least := t.leastServed(class)
-	for _, member := range t.teams {
-		if member.count == 0 || member.served > least+teamQuantum {
+	least := t.minServed(class)
+	for _, teamQueue := range t.teams {
+		if teamQueue.count == 0 || teamQueue.served > least+teamQuantum {
 			continue
 		}
-		for name, lane := range member.lanes {
-			if len(lane.items) == 0 || (class != "" && name != class) {
+		for name, subqueue := range teamQueue.subqueues {
+			if len(subqueue.items) == 0 || (class != "" && name != class) {
 				continue
 			}
-			if item := lane.next(now); accept(item) && (!found || earlier(now, item, best)) {
+			if item := subqueue.next(now); accept(item) && (!found || servedBefore(now, item, best)) {
 				best, found = item, true
 			}
 		}
@@ -178,25 +178,25 @@
 	return best, found
 }
 
-func (t *tierState[T]) leastServed(class string) float64 {
+func (t *tierState[T]) minServed(class string) float64 {
 	least := math.Inf(1)
-	for _, member := range t.teams {
-		if member.count > 0 && (class == "" || member.waits(class)) {
-			least = min(least, member.served)
+	for _, teamQueue := range t.teams {
+		if teamQueue.count > 0 && (class == "" || teamQueue.hasWaiting(class)) {
+			least = min(least, teamQueue.served)
 		}
 	}
 	return least
 }
 
-func (m *teamState[T]) waits(class string) bool {
-	lane, ok := m.lanes[class]
-	return ok && len(lane.items) > 0
+func (t *teamState[T]) hasWaiting(class string) bool {
+	subqueue, ok := t.subqueues[class]
+	return ok && len(subqueue.items) > 0
 }
 
-func earlier[T Item](now time.Time, a, b T) bool {
-	missedA, missedB := a.Due().Before(now), b.Due().Before(now)
-	if missedA != missedB {
-		return missedB
+func servedBefore[T Item](now time.Time, a, b T) bool {
+	overdueA, overdueB := a.Due().Before(now), b.Due().Before(now)
+	if overdueA != overdueB {
+		return overdueB
 	}
 	if !a.Due().Equal(b.Due()) {
 		return a.Due().Before(b.Due())
@@ -208,51 +208,51 @@
 }
 
 func (q *slackQueue[T]) Remove(now time.Time, item T, granted bool) {
-	place, class, team := item.Place()
-	tier := q.tier(place)
-	member := tier.team(team)
-	if !member.lane(class).remove(item) {
+	rank, class, team := item.Place()
+	tier := q.tier(rank)
+	teamQueue := tier.team(team)
+	if !teamQueue.subqueue(class).remove(item) {
 		return
 	}
-	member.count--
+	teamQueue.count--
 	tier.count--
 	q.count--
-	state := q.class(class)
-	state.waiting--
+	classQueue := q.class(class)
+	classQueue.waiting--
 	if !granted {
 		return
 	}
 	cost := float64(item.Cost())
-	member.served += cost / float64(q.shares.Weight(team))
-	tier.raiseFloor()
-	state.granted.add(now, cost)
-	q.total.add(now, cost)
+	teamQueue.served += cost / float64(q.shares.Weight(team))
+	tier.advanceVirtualTime()
+	classQueue.granted.add(now, cost)
+	q.totalGranted.add(now, cost)
 }
 
-// raiseFloor moves the tier's virtual time up to its least-served waiting team.
-func (t *tierState[T]) raiseFloor() {
-	if least := t.leastServed(""); !math.IsInf(least, 1) {
-		t.floor = max(t.floor, least)
+// advanceVirtualTime moves the tier's virtual time up to its least-served waiting team.
+func (t *tierState[T]) advanceVirtualTime() {
+	if least := t.minServed(""); !math.IsInf(least, 1) {
+		t.virtualTime = max(t.virtualTime, least)
 	}
-	for name, member := range t.teams {
-		if member.count == 0 && member.served < t.floor {
+	for name, teamQueue := range t.teams {
+		if teamQueue.count == 0 && teamQueue.served < t.virtualTime {
 			delete(t.teams, name)
 		}
 	}
 }
 
-func (l *lane[T]) remove(item T) bool {
-	for i := range l.items {
-		if l.items[i] == item {
-			l.items = append(l.items[:i], l.items[i+1:]...)
+func (s *subqueue[T]) remove(item T) bool {
+	for i := range s.items {
+		if s.items[i] == item {
+			s.items = append(s.items[:i], s.items[i+1:]...)
 			return true
 		}
 	}
 	return false
 }
 
-func (q *slackQueue[T]) tier(place int) *tierState[T] {
-	return q.tiers[min(max(place, 0), len(q.tiers)-1)]
+func (q *slackQueue[T]) tier(rank int) *tierState[T] {
+	return q.tiers[min(max(rank, 0), len(q.tiers)-1)]
 }
 
 func (q *slackQueue[T]) class(name string) *classState[T] {
@@ -265,19 +265,19 @@
 }
 
 func (t *tierState[T]) team(name string) *teamState[T] {
-	member, ok := t.teams[name]
+	teamQueue, ok := t.teams[name]
 	if !ok {
-		member = &teamState[T]{lanes: make(map[string]*lane[T]), served: t.floor}
-		t.teams[name] = member
+		teamQueue = &teamState[T]{subqueues: make(map[string]*subqueue[T]), served: t.virtualTime}
+		t.teams[name] = teamQueue
 	}
-	return member
+	return teamQueue
 }
 
-func (m *teamState[T]) lane(class string) *lane[T] {
-	l, ok := m.lanes[class]
+func (t *teamState[T]) subqueue(class string) *subqueue[T] {
+	s, ok := t.subqueues[class]
 	if !ok {
-		l = &lane[T]{}
-		m.lanes[class] = l
+		s = &subqueue[T]{}
+		t.subqueues[class] = s
 	}
-	return l
+	return s
 }
--- a/chiveschedule/queue_tiers.go
+++ b/chiveschedule/queue_tiers.go
@@ -19,7 +19,7 @@
 }
 
 func (q *tierQueue[T]) Push(now time.Time, item T) {
-	q.of(item).Push(now, item)
+	q.tierOf(item).Push(now, item)
 	q.count++
 }
 
@@ -29,12 +29,12 @@
 			return item, true
 		}
 	}
-	var none T
-	return none, false
+	var zero T
+	return zero, false
 }
 
 func (q *tierQueue[T]) Remove(now time.Time, item T, granted bool) {
-	tier := q.of(item)
+	tier := q.tierOf(item)
 	before := tier.Len()
 	tier.Remove(now, item, granted)
 	q.count -= before - tier.Len()
@@ -42,7 +42,7 @@
 
 func (q *tierQueue[T]) Len() int { return q.count }
 
-func (q *tierQueue[T]) of(item T) *fifoQueue[T] {
+func (q *tierQueue[T]) tierOf(item T) *fifoQueue[T] {
 	tier, _, _ := item.Place()
 	return q.tiers[min(max(tier, 0), len(q.tiers)-1)]
 }
--- a/chiveschedule/shard_state.go
+++ b/chiveschedule/shard_state.go
@@ -15,8 +15,8 @@
 
 // WaitOf estimates how long a new request of a class would wait, from the work ahead of it and the measured drain rate.
 func (s *Shard) WaitOf(class string) time.Duration {
-	c := s.plan.class(class)
-	return s.waitBehind(c.tier)
+	c := s.config.class(class)
+	return s.queueWait(c.tier)
 }
 
 // EndpointState is the dump of one endpoint's ledger.
@@ -36,8 +36,8 @@
 	states := make([]EndpointState, 0, len(s.endpoints))
 	for _, e := range s.endpoints {
 		states = append(states, EndpointState{
-			Name: e.plan.Name, Sequences: e.sequences, Tokens: e.tokens, Load: e.load(), PaceMs: e.pace,
-			Failures: e.failures, Up: e.up(now, true), Straggler: e.straggles(s.median),
+			Name: e.config.Name, Sequences: e.sequencesInUse, Tokens: e.tokensInUse, Load: e.load(), PaceMs: e.timePerTokenMs,
+			Failures: e.consecutiveFailures, Up: e.available(now, true), Straggler: e.isStraggler(s.medianTimePerTokenMs),
 		})
 	}
 	return states
@@ -47,23 +47,23 @@
 func (s *Shard) LoadPercent() int {
 	work, capacity := int64(0), int64(0)
 	for _, e := range s.endpoints {
-		work += e.tokens
-		capacity += e.plan.Tokens
+		work += e.tokensInUse
+		capacity += e.config.Tokens
 	}
 	work += s.backlog.total
 	if capacity == 0 {
-		return percentOf
+		return percentFactor
 	}
-	return int(work * percentOf / capacity)
+	return int(work * percentFactor / capacity)
 }
 
 // Close refuses everything that waits, because the configuration no longer has the shard.
 func (s *Shard) Close() []Decision {
 	var out []Decision
 	for _, w := range s.sortedWaiting() {
-		out = append(out, s.refuse(w, ReasonNoneUp, retryAfterLeast))
+		out = append(out, s.refuse(w, ReasonNoneUp, minRetryAfter))
 	}
-	s.waiting = make(map[requestKey]*waiting)
+	s.waiting = make(map[attemptKey]*waitingRequest)
 	s.backlog = backlog{}
 	return out
 }
--- a/chiveschedule/shed.go
+++ b/chiveschedule/shed.go
@@ -9,33 +9,33 @@
 // more urgent tiers, so a protected class is never shed for lower work.
 
 // admit returns why a request is refused at its arrival, or an empty reason.
-func (s *Shard) admit(now time.Time, w *waiting) (reason string, after time.Duration) {
+func (s *Shard) admit(now time.Time, w *waitingRequest) (reason string, retryAfter time.Duration) {
 	if !s.fitsAnywhere(w) {
-		return ReasonTooLarge, retryAfterMost
+		return ReasonTooLarge, maxRetryAfter
 	}
-	if !s.anyUp(now) {
-		return ReasonNoneUp, retryAfterLeast
+	if !s.anyUsable(now) {
+		return ReasonNoneUp, minRetryAfter
 	}
 	wait := s.expectedWait(w)
 	if w.class.protected {
 		wait = 0
 	}
-	if now.Add(wait + s.serviceTime(w)).After(w.end) {
+	if now.Add(wait + s.serviceTime(w)).After(w.deadline) {
 		return ReasonDeadline, wait
 	}
 	return "", 0
 }
 
-// hopeless returns the waiting requests to give up on, the oldest first: those that would miss their deadline even with
+// unservable returns the waiting requests to give up on, the oldest first: those that would miss their deadline even with
 // a slot now, and unprotected ones that missed their target and have too much work ahead to make the deadline.
-func (s *Shard) hopeless(now time.Time) []*waiting {
-	var list []*waiting
+func (s *Shard) unservable(now time.Time) []*waitingRequest {
+	var list []*waitingRequest
 	for _, w := range s.waiting {
-		least := now.Add(s.serviceTime(w))
+		earliestEnd := now.Add(s.serviceTime(w))
 		if w.due.Before(now) && !w.class.protected {
-			least = least.Add(s.waitBehindLate(w.class.tier))
+			earliestEnd = earliestEnd.Add(s.lateQueueWait(w.class.tier))
 		}
-		if least.After(w.end) {
+		if earliestEnd.After(w.deadline) {
 			list = append(list, w)
 		}
 	}
@@ -43,18 +43,18 @@
 	return list
 }
 
-func (s *Shard) fitsAnywhere(w *waiting) bool {
+func (s *Shard) fitsAnywhere(w *waitingRequest) bool {
 	for _, e := range s.endpoints {
-		if w.cost <= e.plan.Tokens {
+		if w.cost <= e.config.Tokens {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *Shard) anyUp(now time.Time) bool {
+func (s *Shard) anyUsable(now time.Time) bool {
 	for _, e := range s.endpoints {
-		if !now.Before(e.leaving) && (!now.Before(e.downUntil) || e.failures < 3) {
+		if !now.Before(e.drainingUntil) && (!now.Before(e.quarantinedUntil) || e.consecutiveFailures < 3) {
 			return true
 		}
 	}
@@ -62,34 +62,34 @@
 }
 
 // serviceTime is how long a request takes once it runs, by the median pace; short of samples it is taken as instant.
-func (s *Shard) serviceTime(w *waiting) time.Duration {
-	return time.Duration(s.median*float64(w.mean)) * time.Millisecond
+func (s *Shard) serviceTime(w *waitingRequest) time.Duration {
+	return time.Duration(s.medianTimePerTokenMs*float64(w.expectedRemaining)) * time.Millisecond
 }
 
-func (s *Shard) expectedWait(w *waiting) time.Duration {
-	return s.waitBehind(w.class.tier)
+func (s *Shard) expectedWait(w *waitingRequest) time.Duration {
+	return s.queueWait(w.class.tier)
 }
 
-// waitBehind divides the work ahead of a new request of a tier by the measured drain rate; zero while nothing was measured.
-func (s *Shard) waitBehind(tier int) time.Duration {
-	return s.drainTime(s.backlog.ahead(tier, false))
+// queueWait divides the work ahead of a new request of a tier by the measured drain rate; zero while nothing was measured.
+func (s *Shard) queueWait(tier int) time.Duration {
+	return s.drainTime(s.backlog.workAhead(tier, false))
 }
 
-// waitBehindLate is the same for a request that missed its target, which all others of its tier go before.
-func (s *Shard) waitBehindLate(tier int) time.Duration {
-	return s.drainTime(s.backlog.ahead(tier, true))
+// lateQueueWait is the same for a request that missed its target, which all others of its tier go before.
+func (s *Shard) lateQueueWait(tier int) time.Duration {
+	return s.drainTime(s.backlog.workAhead(tier, true))
 }
 
 func (s *Shard) drainTime(work int64) time.Duration {
-	if s.drained.value <= 0 {
+	if s.drainRate.tokensPerSecond <= 0 {
 		return 0
 	}
-	return time.Duration(float64(work) / s.drained.value * float64(time.Second))
+	return time.Duration(float64(work) / s.drainRate.tokensPerSecond * float64(time.Second))
 }
 
-// evict finds a waiting request to make room in a full queue: the newest of the lowest tier below, never a protected one.
-func (s *Shard) evict(incoming *waiting) (*waiting, bool) {
-	var victim *waiting
+// evictionVictim finds a waiting request to make room in a full queue: the newest of the lowest tier below, never a protected one.
+func (s *Shard) evictionVictim(incoming *waitingRequest) (*waitingRequest, bool) {
+	var victim *waitingRequest
 	for _, w := range s.waiting {
 		if w.class.protected || w.class.tier <= incoming.class.tier {
 			continue
@@ -102,15 +102,15 @@
 	return victim, victim != nil
 }
 
-func (s *Shard) drop(now time.Time, w *waiting, reason string, after time.Duration) Decision {
-	s.leave(now, w, false)
-	return s.refuse(w, reason, after)
+func (s *Shard) dequeueAndRefuse(now time.Time, w *waitingRequest, reason string, retryAfter time.Duration) Decision {
+	s.dequeue(now, w, false)
+	return s.refuse(w, reason, retryAfter)
 }
 
-func (s *Shard) refuse(w *waiting, reason string, after time.Duration) Decision {
+func (s *Shard) refuse(w *waitingRequest, reason string, retryAfter time.Duration) Decision {
 	s.counts.Refused++
-	after = min(max(after, retryAfterLeast), retryAfterMost)
+	retryAfter = min(max(retryAfter, minRetryAfter), maxRetryAfter)
 	return Decision{Gateway: w.gateway, Refusal: &SlotRefusal{
-		Shard: s.id, ID: w.request.ID, Attempt: w.request.Attempt, Reason: reason, RetryAfterMs: after.Milliseconds(), LoadPercent: s.LoadPercent(),
+		Shard: s.id, ID: w.request.ID, Attempt: w.request.Attempt, Reason: reason, RetryAfterMs: retryAfter.Milliseconds(), LoadPercent: s.LoadPercent(),
 	}}
 }
--- a/chiveschedule/slot.go
+++ b/chiveschedule/slot.go
@@ -10,17 +10,17 @@
 
 // Slot is the right to run one attempt of a request on one endpoint.
 type Slot struct {
-	client    *Client
-	key       requestKey
-	shard     string
-	endpoint  chiveconfig.Endpoint
-	class     string
-	team      string
-	cost      int64
-	local     bool
-	grant     SlotGrant
-	once      sync.Once
-	preempted chan struct{}
+	client         *Client
+	attemptKey     attemptKey
+	shard          string
+	endpoint       chiveconfig.Endpoint
+	class          string
+	team           string
+	cost           int64
+	grantedLocally bool
+	grant          SlotGrant
+	preemptOnce    sync.Once
+	preempted      chan struct{}
 }
 
 // Ending is how an attempt ended, its lengths in tokens and its times since the slot was granted.
@@ -31,12 +31,12 @@
 	Stream time.Duration
 }
 
-// hold records a grant that a request took.
-func (c *Client) hold(p *pending, answer pendingAnswer) *Slot {
+// registerSlot records a grant that a request took.
+func (c *Client) registerSlot(p *pendingRequest, answer slotAnswer) *Slot {
 	g := answer.grant
 	s := &Slot{
-		client: c, key: requestKey{g.ID, g.Attempt}, shard: p.shard.ID(), class: p.request.Class, team: p.request.Team,
-		cost: g.Cost, local: answer.local, grant: *g, preempted: make(chan struct{}),
+		client: c, attemptKey: attemptKey{g.ID, g.Attempt}, shard: p.shard.ID(), class: p.request.Class, team: p.request.Team,
+		cost: g.Cost, grantedLocally: answer.grantedLocally, grant: *g, preempted: make(chan struct{}),
 	}
 	for _, e := range p.shard.Endpoints() {
 		if e.Name == g.Endpoint {
@@ -45,9 +45,9 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.held[s.key] = s
-	if !s.local {
-		c.placed[s.shard] = p.scheduler
+	c.heldSlots[s.attemptKey] = s
+	if !s.grantedLocally {
+		c.schedulerByShard[s.shard] = p.scheduler
 	}
 	return s
 }
@@ -61,43 +61,43 @@
 // Preempted is closed when the scheduler wants the slot back for more urgent work.
 func (s *Slot) Preempted() <-chan struct{} { return s.preempted }
 
-func (s *Slot) preempt() {
-	s.once.Do(func() { close(s.preempted) })
+func (s *Slot) signalPreemption() {
+	s.preemptOnce.Do(func() { close(s.preempted) })
 }
 
 // Progress tells the scheduler how the attempt goes on.
 func (s *Slot) Progress(e Ending) {
 	message := SlotProgress{
-		Shard: s.shard, ID: s.key.id, Attempt: s.key.attempt, Endpoint: s.endpoint.Name,
+		Shard: s.shard, ID: s.attemptKey.id, Attempt: s.attemptKey.attempt, Endpoint: s.endpoint.Name,
 		Tokens: e.Tokens, FirstMs: e.First.Milliseconds(), StreamMs: e.Stream.Milliseconds(),
 	}
-	s.send(chivewire.KindSlotProgress, message)
+	s.sendToScheduler(chivewire.KindSlotProgress, message)
 }
 
 // Done gives the slot back; it is called exactly once.
 func (s *Slot) Done(e Ending) {
 	c := s.client
 	c.mu.Lock()
-	delete(c.held, s.key)
-	if s.local {
-		c.local[s.shard]--
+	delete(c.heldSlots, s.attemptKey)
+	if s.grantedLocally {
+		c.localGrants[s.shard]--
 	}
 	c.mu.Unlock()
 	message := SlotDone{
-		Shard: s.shard, ID: s.key.id, Attempt: s.key.attempt, Endpoint: s.endpoint.Name, Class: s.class, Team: s.team,
+		Shard: s.shard, ID: s.attemptKey.id, Attempt: s.attemptKey.attempt, Endpoint: s.endpoint.Name, Class: s.class, Team: s.team,
 		Result: e.Result, Tokens: e.Tokens, FirstMs: e.First.Milliseconds(), StreamMs: e.Stream.Milliseconds(),
 	}
-	s.send(chivewire.KindSlotDone, message)
+	s.sendToScheduler(chivewire.KindSlotDone, message)
 }
 
-// send reaches the scheduler that keeps the shard's ledger now, which may be another than the one that granted.
-func (s *Slot) send(kind chivewire.Kind, message any) {
-	if s.local {
+// sendToScheduler reaches the scheduler that keeps the shard's ledger now, which may be another than the one that granted.
+func (s *Slot) sendToScheduler(kind chivewire.Kind, message any) {
+	if s.grantedLocally {
 		return
 	}
 	c := s.client
 	c.mu.Lock()
-	scheduler := c.placed[s.shard]
+	scheduler := c.schedulerByShard[s.shard]
 	c.mu.Unlock()
 	if scheduler == "" {
 		return
