--- a/chiveschedule/assign.go
+++ b/chiveschedule/assign.go
@@ -7,9 +7,10 @@
 
 // grantSlots grants slots in the queue's order.
 //
-// An endpoint that is merely full for a request is kept for it: were smaller requests of lower tiers let past, a large
-// urgent one could wait for ever. Endpoints that the request cannot use at all stay open to those behind it, since
-// a request that waits for a healthy endpoint would otherwise leave every other one idle.
+// An endpoint that has too little room for a request is reserved for it: if smaller requests of lower tiers could take
+// the room, a large urgent request could wait for ever. Endpoints that the request cannot use for another reason stay
+// available to the requests behind it; otherwise a request that waits for a healthy endpoint would leave all others
+// idle.
 func (s *Shard) grantSlots(now time.Time) []Decision {
 	var out []Decision
 	skipped := make(map[*waitingRequest]bool)
@@ -61,15 +62,16 @@
 	return Decision{Gateway: w.gateway, Grant: &g.message}
 }
 
-// ---------------------------------------------------------------- choice of endpoint
+// ---------------------------------------------------------------- endpoint selection
 
-// Reasons for a choice, as explain shows them.
+// Reasons for selecting an endpoint, as shown by the explain API.
 const (
 	reasonPrefixCached = "prefix_cached_there"
 	reasonLeastLoaded  = "least_loaded"
 )
 
-// chooseEndpoint picks the endpoint that holds the request's prefix unless it is loaded, else the least loaded one.
+// chooseEndpoint selects the endpoint that last got the request's prefix if it fits and its load is below
+// maxAffinityLoad, and otherwise the least loaded endpoint that fits.
 func (s *Shard) chooseEndpoint(now time.Time, w *waitingRequest, reserved map[string]bool) (*endpoint, []Candidate, string) {
 	var best *endpoint
 	candidates := make([]Candidate, 0, len(s.endpoints))
@@ -90,7 +92,7 @@
 	return best, candidates, reasonLeastLoaded
 }
 
-// Verdicts on a candidate, as explain shows them.
+// Verdicts on a candidate, as shown by the explain API.
 const (
 	verdictFits        = "fits"
 	verdictFull        = "full"
@@ -117,7 +119,8 @@
 	return verdictFits
 }
 
-// tooSlow keeps a straggler from work whose targets its own pace would miss; it goes on with work that has the time.
+// tooSlow reports whether a straggler would miss the request's first-token target or deadline at its measured latency.
+// Requests with enough time are still sent to it.
 func (s *Shard) tooSlow(now time.Time, w *waitingRequest, e *endpoint) bool {
 	if !e.isStraggler(s.medianTimePerTokenMs) {
 		return false
@@ -129,9 +132,10 @@
 
 // ---------------------------------------------------------------- preemption
 
-// preempt takes slots from lower unprotected work for urgent requests that would miss their target otherwise.
+// preempt reclaims the slot of a less urgent request when the next request in the queue risks missing its first-token
+// target. At most one preemption is pending at a time.
 //
-// The victim's tokens are kept: its gateway resumes it later from where it stopped.
+// The victim keeps the tokens it has produced: its gateway resumes it later from where it stopped.
 func (s *Shard) preempt(now time.Time) []Decision {
 	w, ok := s.queue.Next(now, func(*waitingRequest) bool { return true })
 	if !ok || !s.urgent(now, w) || s.pendingPreemptions() > 0 {
@@ -146,7 +150,8 @@
 	return []Decision{{Gateway: victim.gateway, Preempt: &SlotPreempt{Shard: s.id, ID: victim.key.id, Attempt: victim.key.attempt}}}
 }
 
-// urgent holds from half of the class's target until the deadline: earlier, a slot may free itself in time.
+// urgent reports whether the request has waited for more than half of its class's first-token target. Before that, a
+// slot may still become free in time.
 func (s *Shard) urgent(now time.Time, w *waitingRequest) bool {
 	return now.Sub(w.arrival) > w.class.firstTokenTarget/preemptAfterDivisor
 }
@@ -161,7 +166,8 @@
 	return count
 }
 
-// preemptionVictim returns the running request of the lowest tier below, the one that has done least; never a protected one, nor one that may not run again.
+// preemptionVictim returns the running request to preempt: of the least urgent tier below the waiting request's, the
+// one with the fewest tokens. Protected and non-preemptible requests are never chosen.
 func (s *Shard) preemptionVictim(now time.Time, w *waitingRequest) *grant {
 	var best *grant
 	for _, g := range s.granted {
--- a/chiveschedule/backlog.go
+++ b/chiveschedule/backlog.go
@@ -4,8 +4,9 @@
 	"time"
 )
 
-// backlog sums up the waiting work by tier, apart for requests that can still meet their target and those that missed
-// it. It is kept with every change and counted anew at each tick, when requests cross from one to the other.
+// backlog sums the estimated cost of waiting requests by tier, separately for requests that can still meet their
+// first-token target and for those that are late. It is updated with every change of the queue and recounted at each
+// tick, since requests become late as time passes.
 type backlog struct {
 	onTime []int64
 	late   []int64
@@ -41,8 +42,8 @@
 	b.total += cost
 }
 
-// workAhead returns the work that goes before a request of a tier: all of more urgent tiers, and of its own tier what is on
-// time, or everything when the request itself is late.
+// workAhead returns the work served before a request of a tier: that of all more urgent tiers, and the on-time work of
+// its own tier. A late request also waits for the late work of its own tier.
 func (b *backlog) workAhead(tier int, late bool) int64 {
 	work := int64(0)
 	for i := range b.onTime {
--- a/chiveschedule/client.go
+++ b/chiveschedule/client.go
@@ -19,7 +19,7 @@
 	"chivedrift/chivewire"
 )
 
-// ClientName is the name under which the gateway's side registers.
+// ClientName is the service name of the gateway's slot client.
 const ClientName = "slots"
 
 const (
@@ -29,25 +29,25 @@
 	triesBeforeLocalGrant = 2
 )
 
-// ErrNoPool is returned for a pool without shards in the configuration in force.
+// ErrNoPool is returned when the pool has no shard in the regions allowed for the request.
 var ErrNoPool = errors.New("no shard of this pool")
 
-// RefusedError is the final no to a request for a slot.
+// RefusedError is returned when a scheduler refuses a request for a slot.
 type RefusedError struct {
 	Reason     string
 	RetryAfter time.Duration
 }
 
-// Error names the reason.
-func (r *RefusedError) Error() string { return "refused: " + r.Reason }
+// Error returns the message with the refusal reason.
+func (r *RefusedError) Error() string { return "slot request refused: " + r.Reason }
 
-// Ask is what a gateway wants a slot for.
+// Ask is a gateway's request for a slot in a pool.
 type Ask struct {
 	Pool    string
 	Request SlotRequest
 }
 
-// Client asks the schedulers of shards for slots and keeps what this gateway holds.
+// Client requests slots from the schedulers of the shards and tracks the slots that this gateway holds.
 type Client struct {
 	mesh        *chivewire.Mesh
 	logger      *slog.Logger
@@ -69,14 +69,14 @@
 	background chivekernel.Duties
 }
 
-// shardTable is the configuration's shards, by pool and by name.
+// shardTable indexes the shards of a configuration by pool and by ID.
 type shardTable struct {
 	config *chiveconfig.Config
 	byPool map[string][]chiveroute.Shard
 	byID   map[string]chiveroute.Shard
 }
 
-// pendingRequest is a request for a slot that has no answer yet.
+// pendingRequest is a slot request that has not been granted or refused yet.
 type pendingRequest struct {
 	shard        chiveroute.Shard
 	request      SlotRequest
@@ -93,7 +93,7 @@
 	grantedLocally bool
 }
 
-// NewClient returns the gateway's side of a node in a region.
+// NewClient returns the slot client of a gateway in a region and registers its message handlers.
 func NewClient(region string, mesh *chivewire.Mesh, logger *slog.Logger) *Client {
 	c := &Client{
 		mesh: mesh, logger: logger, region: region, shardChoice: chiveroute.NewChoice(rand.IntN),
@@ -111,19 +111,19 @@
 	return c
 }
 
-// Start begins to look after requests without an answer.
+// Start starts the periodic check for requests without an answer.
 func (c *Client) Start(ctx context.Context) error {
 	c.background.Begin(ctx, c.run)
 	return nil
 }
 
-// Stop ends the goroutine.
+// Stop stops the goroutine.
 func (c *Client) Stop(context.Context) error {
 	c.background.End()
 	return nil
 }
 
-// SetConfig takes a configuration that came into force.
+// SetConfig applies a new configuration.
 func (c *Client) SetConfig(config *chiveconfig.Config) {
 	table := &shardTable{config: config, byPool: make(map[string][]chiveroute.Shard), byID: make(map[string]chiveroute.Shard)}
 	for _, s := range chiveroute.Shards(config) {
@@ -134,8 +134,8 @@
 	c.updatePlacement()
 }
 
-// updatePlacement works out which node schedules each shard; it runs when members or shards change and not for each request. The lock keeps a placement from
-// before a concurrent change from being stored last.
+// updatePlacement recomputes which nodes schedule each shard; it runs when the members or the shards change, not for
+// each request. The lock prevents concurrent updates from storing an outdated placement last.
 func (c *Client) updatePlacement() {
 	c.placementMu.Lock()
 	defer c.placementMu.Unlock()
@@ -147,7 +147,8 @@
 	c.placement.Store(chiveroute.NewPlacement(keys, *c.members.Load()))
 }
 
-// SetMembers takes a change of the fleet and moves what waits or runs to the schedulers that follow.
+// SetMembers applies a new member list, sends pending requests to the new schedulers and reports the held slots to
+// them.
 func (c *Client) SetMembers(members []chivemember.Member) {
 	before := c.members.Swap(&members)
 	c.updatePlacement()
@@ -157,7 +158,8 @@
 	c.reassignSchedulers(time.Now())
 }
 
-// clearNewSuspects clears the suspicion of members that have just joined: it comes from a connection that failed before they were up.
+// clearNewSuspects stops suspecting members that have just joined: the suspicion comes from a connection that failed
+// before they were up.
 func (c *Client) clearNewSuspects(before, members []chivemember.Member) {
 	known := make(map[string]bool, len(before))
 	for _, m := range before {
@@ -170,7 +172,8 @@
 	}
 }
 
-// Acquire waits for a slot; the error is *RefusedError for a final no, or the context's.
+// Acquire waits for a slot. It returns a *RefusedError when the request is refused, an error wrapping ErrNoPool when no
+// shard may serve it, or one wrapping the cause of the context's end.
 func (c *Client) Acquire(ctx context.Context, req Ask) (*Slot, error) {
 	excluded := make(map[string]bool)
 	for {
@@ -187,7 +190,7 @@
 			if c.residency(req).Allows(p.shard.Region()) {
 				return slot, nil
 			}
-			// The configuration took the region away while the request waited.
+			// A configuration change disallowed the region while the request waited.
 			slot.Done(Ending{Result: ResultReturned})
 			continue
 		}
@@ -205,7 +208,7 @@
 	return &RefusedError{Reason: r.Reason, RetryAfter: time.Duration(r.RetryAfterMs) * time.Millisecond}
 }
 
-// residency returns where a request may be served by the configuration in force.
+// residency returns the regions in which the current configuration allows the request to be served.
 func (c *Client) residency(req Ask) chiveresidency.Policy {
 	config := c.table.Load().config
 	if config == nil {
@@ -214,7 +217,7 @@
 	return config.Residency(req.Request.Class, req.Request.Team)
 }
 
-// pickShard chooses among the shards of this region first, then among the others that the request may be served in.
+// pickShard picks a shard in this region, or else one in another region that is allowed for the request.
 func (c *Client) pickShard(req Ask, excluded map[string]bool) (chiveroute.Shard, bool) {
 	var sameRegion, otherRegions []chiveroute.Shard
 	residency := c.residency(req)
@@ -260,7 +263,7 @@
 	c.mu.Unlock()
 	select {
 	case answer := <-p.answer:
-		// The answer came while giving up: a grant that nobody uses goes back at once.
+		// The answer arrived during cancellation: release a granted slot immediately.
 		if answer.grant != nil {
 			c.registerSlot(p, answer).Done(Ending{Result: ResultReturned})
 		}
@@ -273,11 +276,11 @@
 	if scheduler == "" {
 		return
 	}
-	// When this is lost the scheduler grants for nothing, and the grant is returned on arrival.
+	// If the message is lost, the scheduler may still grant a slot, which onGrant then releases.
 	_ = c.mesh.Send(scheduler, chivewire.KindSlotWithdraw, SlotWithdraw{Shard: p.shard.ID(), ID: p.request.ID, Attempt: p.request.Attempt})
 }
 
-// sendRequest asks the shard's present scheduler; the caller holds the lock.
+// sendRequest sends the request to the shard's current scheduler; the caller holds the lock.
 func (c *Client) sendRequest(now time.Time, p *pendingRequest) {
 	p.scheduler = c.schedulerOf(now, p.shard)
 	p.sentAt, p.acknowledged = now, false
@@ -285,11 +288,12 @@
 	if p.scheduler == "" {
 		return
 	}
-	// A full ring counts as silence: the next scheduler is asked after the wait.
+	// A full send queue is treated like a missing answer: maintain sends the request again after the grant wait.
 	_ = c.mesh.Send(p.scheduler, chivewire.KindSlotRequest, p.request)
 }
 
-// schedulerOf returns the peer address of the shard's first owner that this gateway does not suspect.
+// schedulerOf returns the peer address of the shard's first owner that is not suspected, or an empty string when all
+// are.
 func (c *Client) schedulerOf(now time.Time, shard chiveroute.Shard) string {
 	for _, m := range c.placement.Load().Owners(shard.ID()) {
 		if now.After(c.suspects[m.Address]) {
--- a/chiveschedule/client_handlers.go
+++ b/chiveschedule/client_handlers.go
@@ -15,7 +15,7 @@
 	_, held := c.heldSlots[attemptKey{g.ID, g.Attempt}]
 	c.mu.Unlock()
 	if !held {
-		// A grant that comes too late, or from a scheduler that was given up on, would block a slot for nobody.
+		// Nobody waits for this grant: it is late or from a scheduler that the request has left. Release its slot.
 		_ = c.mesh.Send(from, chivewire.KindSlotDone, SlotDone{Shard: g.Shard, ID: g.ID, Attempt: g.Attempt, Endpoint: g.Endpoint, Result: ResultReturned})
 	}
 }
@@ -33,7 +33,7 @@
 	c.resolve(from, attemptKey{r.ID, r.Attempt}, slotAnswer{refusal: &r})
 }
 
-// resolve hands an answer to the request it belongs to, by identity; only the scheduler asked last may answer.
+// resolve passes an answer to the pending request with this key; only the scheduler that was asked last may answer.
 func (c *Client) resolve(from string, key attemptKey, answer slotAnswer) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,7 +55,8 @@
 	}
 }
 
-// onPeerLost suspects a peer whose connection broke, so that what waits there moves at once, and states again what runs.
+// onPeerLost suspects a peer whose connection was lost, moves the requests pending there to the next scheduler at once,
+// and schedules a new report of the slots held on its shards.
 func (c *Client) onPeerLost(peer string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/chiveschedule/client_maintenance.go
+++ b/chiveschedule/client_maintenance.go
@@ -18,7 +18,8 @@
 	})
 }
 
-// maintain asks the next scheduler where no word came, and the gateway's own small share when nobody answers.
+// maintain sends unanswered requests to the next scheduler, and grants slots locally after triesBeforeLocalGrant tries.
+// It also sends the held-slot lists that are due and ends expired suspicions.
 func (c *Client) maintain(now time.Time) {
 	table := c.table.Load()
 	if table.config == nil {
@@ -41,7 +42,7 @@
 		c.sendRequest(now, p)
 	}
 	if suspected {
-		// What the silent scheduler had queued would otherwise wait until the membership declares it dead.
+		// Requests queued at the unresponsive scheduler would otherwise wait until the membership declares it dead.
 		c.reassignSchedulers(now)
 	}
 	for id, due := range c.resendAt {
@@ -57,8 +58,9 @@
 	}
 }
 
-// grantLocally grants from the gateway's own share of the shard when no scheduler answers: a small part of the
-// sequences, so that all gateways together do not overbook the endpoints.
+// grantLocally grants a slot from this gateway's share of the shard when no scheduler answers. The share is half of the
+// shard's sequences divided by the number of members, at least one, so that all gateways together do not overbook the
+// endpoints.
 func (c *Client) grantLocally(key attemptKey, p *pendingRequest) bool {
 	endpoints := p.shard.Endpoints()
 	limit := int64(0)
@@ -79,9 +81,10 @@
 
 const reasonLocalShare = "no_scheduler_answers_local_share"
 
-// reassignSchedulers moves waiting requests whose scheduler is no longer the one to ask; the caller holds the lock.
+// reassignSchedulers sends pending requests again whose shard has another scheduler now, and reports the held slots to
+// the new schedulers; the caller holds the lock.
 //
-// They keep their time of arrival, so that the loss of a scheduler costs nobody the place in the queue.
+// Requests keep their arrival time, so that they keep their position in the queue when a scheduler is lost.
 func (c *Client) reassignSchedulers(now time.Time) {
 	for _, p := range c.pending {
 		scheduler := c.schedulerOf(now, p.shard)
@@ -103,7 +106,8 @@
 	}
 }
 
-// sendHeldSlots tells a shard's scheduler everything this gateway runs there; the caller holds the lock.
+// sendHeldSlots sends the list of slots that this gateway holds on a shard to the shard's scheduler; the caller holds
+// the lock.
 func (c *Client) sendHeldSlots(now time.Time, id string) {
 	shard, ok := c.table.Load().byID[id]
 	if !ok {
@@ -120,11 +124,11 @@
 	if scheduler == "" {
 		return
 	}
-	// When this is lost, onLost brings the next statement.
+	// If the message is lost with the connection, onPeerLost schedules the next one.
 	_ = c.mesh.Send(scheduler, chivewire.KindSlotAdopt, message)
 }
 
-// ClientState is the dump of the gateway's side.
+// ClientState is the state of the slot client in the state dump.
 type ClientState struct {
 	Pending  int               `json:"pending"`
 	Held     int               `json:"held"`
@@ -132,7 +136,7 @@
 	Placed   map[string]string `json:"schedulers"`
 }
 
-// Dump returns what waits and what runs.
+// Dump returns the pending requests, the held slots and the schedulers in use.
 func (c *Client) Dump() any {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/chiveschedule/endpoint.go
+++ b/chiveschedule/endpoint.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// endpoint is the ledger of one endpoint together with what its answers told of its health and pace.
+// endpoint tracks the slots in use on one endpoint, its health and its measured latency.
 type endpoint struct {
 	config         EndpointPlan
 	sequencesInUse int64
@@ -40,14 +40,16 @@
 	return max(float64(e.sequencesInUse)/float64(e.config.Sequences), float64(e.tokensInUse)/float64(e.config.Tokens))
 }
 
-// hasRoom reports whether the ledger has room, within a fraction of the capacity.
+// hasRoom reports whether a request of this cost fits within a fraction of the capacity; an idle endpoint takes any
+// request that fits its whole capacity.
 func (e *endpoint) hasRoom(cost int64, fraction float64) bool {
 	sequences := max(int64(float64(e.config.Sequences)*fraction), 1)
 	tokens := int64(float64(e.config.Tokens) * fraction)
 	return e.sequencesInUse < sequences && (e.tokensInUse+cost <= tokens || (e.sequencesInUse == 0 && cost <= e.config.Tokens))
 }
 
-// available reports whether the endpoint may get work at all; after a quarantine one repeatable request at a time probes it.
+// available reports whether the endpoint may get a request. After a quarantine it gets one repeatable request at a time
+// as a probe, until one succeeds.
 func (e *endpoint) available(now time.Time, repeatable bool) bool {
 	if now.Before(e.quarantinedUntil) || now.Before(e.drainingUntil) {
 		return false
@@ -76,7 +78,7 @@
 	e.probeInFlight = false
 }
 
-// recordFailure quarantines the endpoint for a time that doubles with each failure in a row.
+// recordFailure quarantines the endpoint for a time that doubles with each consecutive failure, up to maxQuarantine.
 func (e *endpoint) recordFailure(now time.Time) {
 	e.probeInFlight = false
 	quarantine := min(minQuarantine<<min(e.consecutiveFailures, 10), maxQuarantine)
@@ -88,7 +90,7 @@
 	e.drainingUntil = now.Add(drainingPeriod)
 }
 
-// recordLatency notes the time to the first token and the time a token, in milliseconds.
+// recordLatency adds a sample of the time to first token and of the time per output token; zero means no sample.
 func (e *endpoint) recordLatency(now time.Time, observedFirstTokenMs float64, observedTimePerTokenMs float64) {
 	e.lastUsed = now
 	if observedFirstTokenMs > 0 {
@@ -107,8 +109,9 @@
 	return previous + ewmaWeight*(sample-previous)
 }
 
-// decayStragglerLatency moves an endpoint's pace towards the median after a while without samples, so that a straggler that
-// nobody uses any more is tried again instead of being avoided for good.
+// decayStragglerLatency moves the latency of an endpoint that is slower than the median halfway to the median each time
+// it has been unused for stragglerRetryAfter. Otherwise a straggler that gets no requests would get no new samples and
+// would be avoided for ever.
 func (e *endpoint) decayStragglerLatency(now time.Time, median float64) {
 	if median > 0 && e.timePerTokenMs > median && now.Sub(e.lastUsed) > stragglerRetryAfter {
 		e.timePerTokenMs = (e.timePerTokenMs + median) / 2
@@ -120,7 +123,8 @@
 	return median > 0 && e.samples >= minLatencySamples && e.timePerTokenMs > stragglerFactor*median
 }
 
-// medianTimePerToken returns the median time a token over the endpoints that have samples, in milliseconds; 0 while fewer than two have.
+// medianTimePerToken returns the median time per output token in milliseconds over the endpoints with enough samples,
+// or 0 when fewer than two have enough.
 func medianTimePerToken(endpoints []*endpoint) float64 {
 	samples := make([]float64, 0, len(endpoints))
 	for _, e := range endpoints {
--- a/chiveschedule/estimate.go
+++ b/chiveschedule/estimate.go
@@ -4,7 +4,8 @@
 	"time"
 )
 
-// Estimates learns how long outputs are, by class and team, since nobody knows a length beforehand.
+// Estimates predicts output lengths from those of finished requests, by class and team; the length of an output is not
+// known in advance.
 type Estimates struct {
 	byTeam  map[string]*lengthStats
 	byClass map[string]*lengthStats
@@ -27,12 +28,12 @@
 	rateResetAfter   = 10 * time.Second
 )
 
-// NewEstimates returns estimates that know nothing yet.
+// NewEstimates returns estimates without samples.
 func NewEstimates() *Estimates {
 	return &Estimates{byTeam: make(map[string]*lengthStats), byClass: make(map[string]*lengthStats)}
 }
 
-// Observe notes the output length of a finished request.
+// Observe records the output length of a finished request.
 func (e *Estimates) Observe(class, team string, tokens int64) {
 	recordLength(e.byClass, class, tokens)
 	recordLength(e.byTeam, class+keySeparator+team, tokens)
@@ -47,7 +48,8 @@
 	s.add(float64(tokens))
 }
 
-// add moves the running quantile by a step in proportion to itself: up by q when above it, down by 1-q when below.
+// add updates the mean and the quantile estimate. The quantile moves by a step proportional to itself: up by q of the
+// step for a sample above it, down by 1-q of the step otherwise.
 func (s *lengthStats) add(tokens float64) {
 	s.samples++
 	s.mean += meanWeight * (tokens - s.mean)
@@ -59,7 +61,8 @@
 	}
 }
 
-// Of returns the high quantile and the mean of the output in tokens for a class and team, or the class's prior.
+// Of returns the lengthQuantile and the mean of the output length in tokens. It uses the team's samples within the
+// class, then those of the class, then the class's configured expectation, whichever has enough samples first.
 func (e *Estimates) Of(class *ClassPlan, team string) (high, mean int64) {
 	for _, s := range []*lengthStats{e.byTeam[class.name+keySeparator+team], e.byClass[class.name]} {
 		if s != nil && s.samples >= minLengthSamples {
@@ -69,7 +72,7 @@
 	return class.expectedTokens, class.expectedTokens
 }
 
-// tokenRate measures how many tokens of finished work leave a shard a second.
+// tokenRate measures a throughput in tokens per second over windows of at least rateWindow.
 type tokenRate struct {
 	windowStart     time.Time
 	windowTokens    float64
--- a/chiveschedule/message.go
+++ b/chiveschedule/message.go
@@ -1,6 +1,6 @@
 package chiveschedule
 
-// SlotRequest asks the scheduler of a shard for a slot; times are Unix milliseconds, lengths are tokens.
+// SlotRequest asks the scheduler of a shard for a slot; times are in Unix milliseconds, lengths in tokens.
 type SlotRequest struct {
 	Shard        string
 	ID           string
@@ -17,7 +17,7 @@
 	Repeatable   bool
 }
 
-// SlotGrant gives a slot on an endpoint; the incarnation names the scheduler that keeps it in its ledger.
+// SlotGrant grants a slot on an endpoint; Incarnation identifies the scheduler process that granted it.
 type SlotGrant struct {
 	Shard       string
 	ID          string
@@ -32,21 +32,22 @@
 	Cost        int64
 }
 
-// SlotQueued tells a gateway that its request waits here, so that silence means that nobody has it.
+// SlotQueued acknowledges that a request is queued; a gateway that gets neither this nor a decision sends the request
+// again.
 type SlotQueued struct {
 	Shard   string
 	ID      string
 	Attempt int
 }
 
-// Candidate is an endpoint that was weighed, with what spoke for or against it.
+// Candidate is an endpoint that was considered for a request, with its load and the verdict on it.
 type Candidate struct {
 	Endpoint string `json:"endpoint"`
 	Load     int    `json:"load_percent"`
 	Verdict  string `json:"verdict"`
 }
 
-// SlotRefusal is the final no of a scheduler, with when to come back.
+// SlotRefusal rejects a request, with the reason and the time after which to retry.
 type SlotRefusal struct {
 	Shard        string
 	ID           string
@@ -56,7 +57,7 @@
 	LoadPercent  int
 }
 
-// SlotProgress tells the scheduler of the first token, and now and then how a long stream goes on.
+// SlotProgress reports the first token of an attempt, and the progress of a long stream from time to time.
 type SlotProgress struct {
 	Shard    string
 	ID       string
@@ -67,7 +68,7 @@
 	StreamMs int64
 }
 
-// SlotDone returns a slot with how the attempt ended.
+// SlotDone releases a slot and reports how the attempt ended.
 type SlotDone struct {
 	Shard    string
 	ID       string
@@ -81,20 +82,20 @@
 	StreamMs int64
 }
 
-// SlotWithdraw takes back a request for a slot.
+// SlotWithdraw cancels a request for a slot.
 type SlotWithdraw struct {
 	Shard   string
 	ID      string
 	Attempt int
 }
 
-// SlotAdopt states everything a gateway has running on a shard; a scheduler corrects its ledger by it.
+// SlotAdopt lists every slot that a gateway holds on a shard; the scheduler reconciles its accounting with the list.
 type SlotAdopt struct {
 	Shard string
 	Holds []Hold
 }
 
-// Hold is one slot in use.
+// Hold describes one slot in use.
 type Hold struct {
 	ID       string
 	Attempt  int
@@ -104,24 +105,24 @@
 	Cost     int64
 }
 
-// SlotPreempt asks a gateway to give a slot back and queue the rest of the request again.
+// SlotPreempt asks a gateway to release a slot and to queue the remainder of the request again.
 type SlotPreempt struct {
 	Shard   string
 	ID      string
 	Attempt int
 }
 
-// Result is how an attempt ended, as the scheduler needs to know it.
+// Result classifies the end of an attempt by what it says about the endpoint.
 type Result uint8
 
 const (
-	// ResultOK means that the endpoint did its work.
+	// ResultOK means that the endpoint completed the attempt.
 	ResultOK Result = 1
-	// ResultFailed means that the endpoint broke, stalled or could not be reached.
+	// ResultFailed means that the endpoint failed, stalled or could not be reached.
 	ResultFailed Result = 2
-	// ResultRefused means that the endpoint takes no new work.
+	// ResultRefused means that the endpoint accepts no new requests.
 	ResultRefused Result = 3
-	// ResultCancelled means that the work was given up for a reason that says nothing of the endpoint.
+	// ResultCancelled means that the attempt was cancelled for a reason unrelated to the endpoint.
 	ResultCancelled Result = 4
 	// ResultReturned means that the slot was never used.
 	ResultReturned Result = 5
--- a/chiveschedule/owner.go
+++ b/chiveschedule/owner.go
@@ -15,7 +15,7 @@
 	"chivedrift/chivewire"
 )
 
-// OwnerName is the name under which the scheduler side registers.
+// OwnerName is the service name of the scheduler.
 const OwnerName = "scheduler"
 
 const (
@@ -25,7 +25,8 @@
 	dumpTimeout   = time.Second
 )
 
-// Owner schedules the shards that gateways bring to this node: one goroutine owns them all, fed by a ring.
+// Owner schedules the shards for which gateways send slot requests to this node. A single goroutine owns all of them
+// and reads its work from a bounded queue.
 type Owner struct {
 	mesh               *chivewire.Mesh
 	logger             *slog.Logger
@@ -43,7 +44,7 @@
 	lastUsed time.Time
 }
 
-// NewOwner returns the scheduler side of a node.
+// NewOwner returns the scheduler of a node and registers its message handlers.
 func NewOwner(mesh *chivewire.Mesh, logger *slog.Logger) *Owner {
 	sched := &Owner{
 		mesh: mesh, logger: logger, incarnation: time.Now().UnixNano(), inbox: chivering.New[func(time.Time)](inboxCapacity),
@@ -62,7 +63,7 @@
 	return sched
 }
 
-// shardMessage is a message that names the shard it is about.
+// shardMessage is a message that is addressed to a shard.
 type shardMessage interface {
 	shardID() string
 }
@@ -73,11 +74,12 @@
 func (m SlotWithdraw) shardID() string { return m.Shard }
 func (m SlotAdopt) shardID() string    { return m.Shard }
 
-// receiveForShard passes messages of one kind to the shard they name, on the owner's goroutine.
+// receiveForShard passes messages of one kind to the shard they are addressed to, on the goroutine that owns the
+// shards.
 func receiveForShard[M shardMessage](sched *Owner, kind chivewire.Kind, decide func(now time.Time, s *Shard, from string, m M) []Decision) {
 	chivewire.Receive(sched.mesh, kind, func(from string, message M) {
-		// A full ring loses the message. A request for a slot is asked again when no word comes, and a lost return
-		// of a slot is mended by the gateway's next statement of what it runs.
+		// When the queue is full the message is dropped. A gateway sends a slot request again when it gets no answer,
+		// and a lost slot release is corrected by the gateway's next SlotAdopt.
 		sched.inbox.Offer(func(now time.Time) {
 			sched.gateways[from] = true
 			if s := sched.takeShard(now, message.shardID()); s != nil {
@@ -87,19 +89,19 @@
 	})
 }
 
-// Start begins to schedule.
+// Start starts the goroutine that runs the shards.
 func (sched *Owner) Start(ctx context.Context) error {
 	sched.background.Begin(ctx, sched.run)
 	return nil
 }
 
-// Stop ends the goroutine.
+// Stop stops the goroutine.
 func (sched *Owner) Stop(context.Context) error {
 	sched.background.End()
 	return nil
 }
 
-// SetConfig takes a configuration that came into force.
+// SetConfig applies a new configuration.
 func (sched *Owner) SetConfig(config *chiveconfig.Config) {
 	shards := chiveroute.Shards(config)
 	sched.inbox.Offer(func(now time.Time) {
@@ -122,7 +124,7 @@
 	})
 }
 
-// SetMembers takes a change of the fleet: what dead gateways held is freed.
+// SetMembers applies a new member list and removes the requests and slots of gateways that are no longer in it.
 func (sched *Owner) SetMembers(members []chivemember.Member) {
 	live := make(map[string]bool, len(members))
 	for _, m := range members {
@@ -141,7 +143,7 @@
 	})
 }
 
-// SetLeaving takes the addresses of endpoints that take no new work.
+// SetLeaving marks the endpoints with these addresses as draining.
 func (sched *Owner) SetLeaving(addresses []string) {
 	sched.inbox.Offer(func(now time.Time) {
 		for _, address := range addresses {
@@ -156,7 +158,7 @@
 	})
 }
 
-// ShardState is the dump of one shard.
+// ShardState is the state of one shard in the state dump.
 type ShardState struct {
 	Shard       string          `json:"shard"`
 	Waiting     int             `json:"waiting"`
@@ -212,7 +214,8 @@
 	}
 }
 
-// takeShard returns the takeShard, taking it over when this node did not have it; nil for one that the configuration does not know.
+// takeShard returns the shard and takes it over when this node did not schedule it yet; it returns nil for a shard that
+// is not in the configuration.
 func (sched *Owner) takeShard(now time.Time, id string) *Shard {
 	owned, ok := sched.shards[id]
 	if !ok {
@@ -230,7 +233,7 @@
 
 func (sched *Owner) sendDecisions(decisions []Decision) {
 	for _, d := range decisions {
-		// A message that a full ring does not take is lost; the gateway asks again when no word comes.
+		// A message is dropped when the send queue is full; the gateway sends its request again when it gets no answer.
 		switch {
 		case d.Grant != nil:
 			_ = sched.mesh.Send(d.Gateway, chivewire.KindSlotGrant, d.Grant)
--- a/chiveschedule/plan.go
+++ b/chiveschedule/plan.go
@@ -6,7 +6,7 @@
 	"chivedrift/chiveconfig"
 )
 
-// Plan is what a shard needs of the configuration.
+// Plan is the part of the configuration that a shard needs.
 type Plan struct {
 	policy    string
 	tiers     int
@@ -15,7 +15,7 @@
 	endpoints []EndpointPlan
 }
 
-// ClassPlan is a class as the scheduler sees it.
+// ClassPlan is the scheduling configuration of a service class.
 type ClassPlan struct {
 	name             string
 	tier             int
@@ -26,7 +26,7 @@
 	expectedTokens   int64
 }
 
-// EndpointPlan is an endpoint as the scheduler sees it, its capacity in sequences and tokens in flight.
+// EndpointPlan describes an endpoint and its capacity in concurrent sequences and in tokens in flight.
 type EndpointPlan struct {
 	Name          string
 	FailureDomain string
@@ -40,7 +40,7 @@
 	percent          = 100
 )
 
-// NewPlan derives the plan of a shard from the configuration in force and the endpoints in the shard.
+// NewPlan derives the plan of a shard from the configuration and the shard's endpoints.
 func NewPlan(config *chiveconfig.Config, endpoints []chiveconfig.Endpoint) *Plan {
 	p := &Plan{
 		policy: config.Routing.Policy, tiers: len(config.Tiers),
@@ -67,7 +67,7 @@
 	return p
 }
 
-// WithPolicy returns a copy of the plan under another queue policy.
+// WithPolicy returns a copy of the plan with another queue policy.
 func (p *Plan) WithPolicy(name string) *Plan {
 	copied := *p
 	copied.policy = name
@@ -78,7 +78,7 @@
 	if c, ok := p.classes[name]; ok {
 		return c
 	}
-	// A gateway one configuration ahead may name a class that this node does not know yet; it waits behind all known ones.
+	// A gateway with a newer configuration may name a class that is not known here yet; it gets the least urgent tier.
 	return &ClassPlan{name: name, tier: max(p.tiers-1, 0), firstTokenTarget: time.Minute, deadline: time.Minute, expectedTokens: unknownClassTokens, minShare: minClassShare}
 }
 
--- a/chiveschedule/prefix.go
+++ b/chiveschedule/prefix.go
@@ -4,7 +4,8 @@
 	"container/list"
 )
 
-// prefixIndex remembers which endpoint last got each prompt prefix, the most recently used ones only.
+// prefixIndex maps each prompt prefix to the endpoint that last got a request with it. When full it drops the prefix
+// whose last grant is the oldest.
 type prefixIndex struct {
 	capacity int
 	byPrefix map[uint64]*list.Element
--- a/chiveschedule/queue.go
+++ b/chiveschedule/queue.go
@@ -5,37 +5,39 @@
 	"time"
 )
 
-// Item is what a queue policy needs to know of a waiting request.
+// Item is a waiting request as a queue policy sees it.
 type Item interface {
 	comparable
-	// Place returns tier (0 the most urgent), class and team.
+	// Place returns the tier (0 is the most urgent), the class and the team.
 	Place() (tier int, class, team string)
-	// Due returns when the first token is due by the class's target.
+	// Due returns the time by which the item needs a slot to meet its class's first-token target.
 	Due() time.Time
-	// Cost returns the estimated work in tokens.
+	// Cost returns the estimated cost in tokens.
 	Cost() int64
 }
 
-// Queue is the order in which waiting items get slots; each policy is one implementation.
+// Queue orders the items that wait for slots; each queue policy implements it.
 type Queue[T Item] interface {
 	// Push adds an item.
 	Push(now time.Time, item T)
-	// Next returns the item that should get the next slot, without removing it; a line whose first item is not accepted is passed over.
+	// Next returns the item that should get the next slot, without removing it. Each sub-queue offers one item; a
+	// sub-queue whose item is not accepted is skipped.
 	Next(now time.Time, accept func(T) bool) (T, bool)
-	// Remove takes an item out; granted reports whether it got a slot, which charges its team and class.
+	// Remove removes an item; granted says whether it got a slot, in which case its cost may count against its team and
+	// class.
 	Remove(now time.Time, item T, granted bool)
-	// Len returns how many items wait.
+	// Len returns the number of waiting items.
 	Len() int
 }
 
-// Shares are the guarantees that a policy needs from the plan.
+// Shares holds the number of tiers, the guaranteed shares of the classes and the weights of the teams.
 type Shares struct {
 	Tiers    int
 	MinShare func(class string) float64
 	Weight   func(team string) int64
 }
 
-// Policies returns the table of queue policies by name.
+// Policies returns the constructors of the queue policies by name.
 func Policies[T Item]() map[string]func(Shares) Queue[T] {
 	return map[string]func(Shares) Queue[T]{
 		policySlack: newSlackQueue[T],
@@ -44,7 +46,7 @@
 	}
 }
 
-// PolicyNames lists the queue policies that a configuration can name.
+// PolicyNames returns the sorted names of the queue policies.
 func PolicyNames() []string {
 	table := Policies[*waitingRequest]()
 	names := make([]string, 0, len(table))
--- a/chiveschedule/queue_fifo.go
+++ b/chiveschedule/queue_fifo.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// fifoQueue serves in order of arrival; it is the baseline without service levels.
+// fifoQueue serves in order of insertion, without regard to class or team; it is a baseline for comparison.
 type fifoQueue[T Item] struct {
 	items []T
 }
--- a/chiveschedule/queue_slack.go
+++ b/chiveschedule/queue_slack.go
@@ -6,14 +6,16 @@
 	"time"
 )
 
-// slackQueue is the policy in force by default. Order of decision:
+// slackQueue is the default policy: tiers with guaranteed class shares, fair queuing among teams and earliest due time
+// first. It selects the next request by these rules, in this order:
 //
-//  1. A class that waits and got less than its guaranteed minimum of the recent work goes first, so that none starves.
-//  2. Tiers, the most urgent first.
-//  3. Within a tier, the teams that are not ahead of the least-served team by more than a quantum of work.
-//  4. Of each class and team the earliest due that can still meet its target, else the oldest; among these, those
-//     that can still meet it come first. Were the ones that already missed it served first, all behind them would
-//     miss it too: in a burst a whole class would be served, and every request of it late.
+//  1. A waiting class that received less than its guaranteed share of the recently granted work goes first, so that no
+//     class starves.
+//  2. More urgent tiers go first.
+//  3. Within a tier, only teams whose weighted service is within teamQuantum of the least-served team are eligible.
+//  4. Each class and team offers its earliest due request that is not late, or its oldest when all are late. Among
+//     these, requests that are not late go first. Serving late requests first would make all behind them late too: in
+//     a burst, every request of a class would be served late.
 type slackQueue[T Item] struct {
 	shares       Shares
 	tiers        []*tierState[T]
@@ -22,21 +24,21 @@
 	count        int
 }
 
-// A tierState holds the waiting requests of one tier, by team and class.
+// tierState holds the waiting requests of one tier, by team and class.
 type tierState[T Item] struct {
 	teams       map[string]*teamState[T]
 	virtualTime float64
 	count       int
 }
 
-// A teamState holds a team's requests in a tier and the work it was granted, divided by its weight.
+// teamState holds a team's requests in a tier and the work it was granted, divided by its weight.
 type teamState[T Item] struct {
 	subqueues map[string]*subqueue[T]
 	served    float64
 	count     int
 }
 
-// A subqueue is the line of one class and team in order of due time, which is the order of arrival.
+// subqueue holds the requests of one class and team in order of due time.
 type subqueue[T Item] struct {
 	items []T
 }
@@ -47,7 +49,7 @@
 	tier    int
 }
 
-// decayingSum is a sum that forgets over guaranteeWindow.
+// decayingSum is a sum that decays exponentially with the time constant shareDecayTime.
 type decayingSum struct {
 	sum     float64
 	updated time.Time
@@ -86,7 +88,7 @@
 	tier := q.tier(rank)
 	teamQueue := tier.team(team)
 	if teamQueue.count == 0 {
-		// A team that was away must not return with credit for the time it asked for nothing.
+		// A team does not accumulate credit while it has no requests waiting.
 		teamQueue.served = max(teamQueue.served, tier.virtualTime)
 	}
 	teamQueue.subqueue(class).insert(item)
@@ -98,7 +100,8 @@
 	classQueue.tier = rank
 }
 
-// insert keeps a lane in order of due time; only a resubmitted request is ever older than the last.
+// insert keeps the items in order of due time. It searches from the end: apart from resubmitted requests, items
+// arrive in nearly that order.
 func (s *subqueue[T]) insert(item T) {
 	i := len(s.items)
 	for i > 0 && s.items[i-1].Due().After(item.Due()) {
@@ -109,7 +112,7 @@
 	s.items[i] = item
 }
 
-// next returns the earliest due item that is not late yet, or the oldest when all are; the lane is in order of due time.
+// next returns the earliest due item that is not late, or the oldest when all are late.
 func (s *subqueue[T]) next(now time.Time) T {
 	i := sort.Search(len(s.items), func(i int) bool { return !s.items[i].Due().Before(now) })
 	if i == len(s.items) {
@@ -136,7 +139,7 @@
 	return zero, false
 }
 
-// mostStarvedClass returns the waiting class that is furthest below its guaranteed share of the recent work.
+// mostStarvedClass returns the waiting class that is furthest below its guaranteed share of the recently granted work.
 func (q *slackQueue[T]) mostStarvedClass(now time.Time) (string, bool) {
 	lowest, name := starvingBelow, ""
 	recent := q.totalGranted.value(now)
@@ -157,7 +160,7 @@
 	return name, name != ""
 }
 
-// next picks within a tier, or within one class of it.
+// next selects an item of the tier, or of one class in it when class is not empty.
 func (t *tierState[T]) next(now time.Time, class string, accept func(T) bool) (T, bool) {
 	var best T
 	found := false
@@ -201,7 +204,7 @@
 	if !a.Due().Equal(b.Due()) {
 		return a.Due().Before(b.Due())
 	}
-	// Ties go by name, so that the same requests get the same order in every run.
+	// Break ties by name, so that the order is deterministic.
 	_, classA, teamA := a.Place()
 	_, classB, teamB := b.Place()
 	return teamA+classA < teamB+classB
@@ -229,7 +232,8 @@
 	q.totalGranted.add(now, cost)
 }
 
-// advanceVirtualTime moves the tier's virtual time up to its least-served waiting team.
+// advanceVirtualTime raises the tier's virtual time to the service of its least-served waiting team, and drops idle
+// teams that are behind it.
 func (t *tierState[T]) advanceVirtualTime() {
 	if least := t.minServed(""); !math.IsInf(least, 1) {
 		t.virtualTime = max(t.virtualTime, least)
--- a/chiveschedule/queue_tiers.go
+++ b/chiveschedule/queue_tiers.go
@@ -4,7 +4,8 @@
 	"time"
 )
 
-// tierQueue serves strictly by tier and in order of arrival within one; low tiers can starve, which is why it is only a baseline.
+// tierQueue serves strictly by tier and in order of insertion within a tier. Low tiers can starve, so it is only a
+// baseline for comparison.
 type tierQueue[T Item] struct {
 	tiers []*fifoQueue[T]
 	count int
--- a/chiveschedule/scenario_bounds_test.go
+++ b/chiveschedule/scenario_bounds_test.go
@@ -12,14 +12,15 @@
 	"github.com/goccy/go-yaml"
 )
 
-// bounds are what a scenario must keep; a scenario's own values replace the default ones.
+// bounds are the limits on a scenario's results; values given for a scenario override the defaults. BehindOracleMax and
+// GoodputRatioMin compare with the all-knowing queue.
 type bounds struct {
 	TopAttainedMin       *float64 `yaml:"top_attained_min"`
-	BehindKnowingMax     *float64 `yaml:"behind_knowing_max"`
+	BehindOracleMax      *float64 `yaml:"behind_knowing_max"`
 	CommittedAttainedMin *float64 `yaml:"committed_attained_min"`
 	GoodputRatioMin      *float64 `yaml:"goodput_ratio_min"`
 	WastedMax            *float64 `yaml:"wasted_max"`
-	OthersMin            *float64 `yaml:"others_min"`
+	OtherTeamsMin        *float64 `yaml:"others_min"`
 	WorstWaitMax         *float64 `yaml:"worst_wait_max"`
 }
 
@@ -41,78 +42,79 @@
 	return file
 }
 
-func (f boundsFile) of(name string) bounds {
+func (f boundsFile) forScenario(name string) bounds {
 	b, own := f.Default, f.Scenarios[name]
-	pick := func(into **float64, value *float64) {
+	override := func(target **float64, value *float64) {
 		if value != nil {
-			*into = value
+			*target = value
 		}
 	}
-	pick(&b.TopAttainedMin, own.TopAttainedMin)
-	pick(&b.BehindKnowingMax, own.BehindKnowingMax)
-	pick(&b.CommittedAttainedMin, own.CommittedAttainedMin)
-	pick(&b.GoodputRatioMin, own.GoodputRatioMin)
-	pick(&b.WastedMax, own.WastedMax)
-	pick(&b.OthersMin, own.OthersMin)
-	pick(&b.WorstWaitMax, own.WorstWaitMax)
+	override(&b.TopAttainedMin, own.TopAttainedMin)
+	override(&b.BehindOracleMax, own.BehindOracleMax)
+	override(&b.CommittedAttainedMin, own.CommittedAttainedMin)
+	override(&b.GoodputRatioMin, own.GoodputRatioMin)
+	override(&b.WastedMax, own.WastedMax)
+	override(&b.OtherTeamsMin, own.OtherTeamsMin)
+	override(&b.WorstWaitMax, own.WorstWaitMax)
 	return b
 }
 
-const boundSeed = 1
+const boundsSeed = 1
 
-// TestScenariosKeepTheirBounds runs chivedrift beside the all-knowing queue and holds it to testdata/bounds.yaml.
-func TestScenariosKeepTheirBounds(t *testing.T) {
+// TestScenariosStayWithinBounds guards against regressions in service levels: it runs every scenario with chivedrift
+// and with the all-knowing queue, and checks the results against testdata/bounds.yaml.
+func TestScenariosStayWithinBounds(t *testing.T) {
 	file := readBounds(t)
-	arms := armMakers()
-	for _, m := range []mix{sopotnik(), hakata()} {
+	makers := strategyMakers()
+	for _, w := range []workload{sopotnikWorkload(), hakataWorkload()} {
 		for _, s := range scenarios() {
-			if s.gateways > todayGateways {
-				continue // the large fleet runs in the bench
+			if s.gateways > defaultGateways {
+				continue // the large fleet runs only in the benchmark
 			}
-			t.Run(m.name+"/"+s.name, func(t *testing.T) {
+			t.Run(w.name+"/"+s.name, func(t *testing.T) {
 				t.Parallel()
-				f := runScenario(m, s, arms[0], boundSeed)
-				knowing := runScenario(m, s, arms[1], boundSeed)
-				file.of(s.name).check(t, m, f, knowing)
+				r := runScenario(w, s, makers[0], boundsSeed)
+				oracle := runScenario(w, s, makers[1], boundsSeed)
+				file.forScenario(s.name).check(t, w, r, oracle)
 			})
 		}
 	}
 }
 
-func (b bounds) check(t *testing.T, m mix, f, knowing figures) {
+func (b bounds) check(t *testing.T, w workload, r, oracle results) {
 	t.Helper()
-	atLeast := func(what string, got, bound float64) {
+	atLeast := func(metric string, got, bound float64) {
 		if got < bound {
-			t.Errorf("%s is %.2f, the bound is at least %.2f", what, got, bound)
+			t.Errorf("%s is %.2f, the bound is at least %.2f", metric, got, bound)
 		}
 	}
-	top, committed := m.classes[0].name, m.classes[1].name
-	atLeast("top-tier attainment", f.attained[top], *b.TopAttainedMin)
-	atLeast("points behind the all-knowing queue, negated", f.attained[top]-knowing.attained[top], -*b.BehindKnowingMax)
-	atLeast("committed tier's attainment", f.attained[committed], *b.CommittedAttainedMin)
-	atLeast("goodput against the all-knowing queue's", f.goodput/knowing.goodput, *b.GoodputRatioMin)
-	atLeast("wasted tokens, negated", -f.wasted, -*b.WastedMax)
-	atLeast("attainment of the other teams", f.others, *b.OthersMin)
-	atLeast("longest wait of the lowest class, negated", -f.worst, -*b.WorstWaitMax)
+	top, committed := w.classes[0].name, w.classes[1].name
+	atLeast("top-tier attainment", r.attained[top], *b.TopAttainedMin)
+	atLeast("attainment relative to the all-knowing queue in points", r.attained[top]-oracle.attained[top], -*b.BehindOracleMax)
+	atLeast("second-tier attainment", r.attained[committed], *b.CommittedAttainedMin)
+	atLeast("goodput relative to the all-knowing queue", r.goodput/oracle.goodput, *b.GoodputRatioMin)
+	atLeast("wasted tokens, negated", -r.wasted, -*b.WastedMax)
+	atLeast("attainment of the other teams", r.otherTeams, *b.OtherTeamsMin)
+	atLeast("longest wait of the lowest class, negated", -r.longestWait, -*b.WorstWaitMax)
 }
 
-// ---------------------------------------------------------------- the page
+// ---------------------------------------------------------------- docs/SCHEDULING.md
 
-var page = flag.Bool("page", false, "write docs/SCHEDULING.md from the bench")
+var writePage = flag.Bool("page", false, "write docs/SCHEDULING.md from the benchmark")
 
-const seeds = 10
+const benchSeeds = 10
 
-// BenchmarkScenarios runs every arm over ten seeds; with -page it writes docs/SCHEDULING.md.
+// BenchmarkScenarios runs every strategy with ten seeds; with -page it writes docs/SCHEDULING.md.
 func BenchmarkScenarios(b *testing.B) {
 	for b.Loop() {
 		out := strings.Builder{}
-		out.WriteString(pageOpening)
-		for _, m := range []mix{sopotnik(), hakata()} {
+		out.WriteString(pageHeader)
+		for _, w := range []workload{sopotnikWorkload(), hakataWorkload()} {
 			for _, s := range scenarios() {
-				writeScenario(b, &out, m, s)
+				writeScenario(b, &out, w, s)
 			}
 		}
-		if *page {
+		if *writePage {
 			if err := os.WriteFile("../docs/SCHEDULING.md", []byte(out.String()), 0o600); err != nil {
 				b.Fatal(err)
 			}
@@ -120,7 +122,7 @@
 	}
 }
 
-const pageOpening = `# Scheduling under load
+const pageHeader = `# Scheduling under load
 
 Written by ` + "`go test ./chiveschedule -run xxx -bench Scenarios -benchtime 1x -timeout 60m -page`" + `; not edited by hand.
 
@@ -133,59 +135,59 @@
 "All-knowing queue": one queue over all engines that knows every length, without network delay.
 `
 
-func writeScenario(b *testing.B, out *strings.Builder, m mix, s scenario) {
+func writeScenario(b *testing.B, out *strings.Builder, w workload, s scenario) {
 	b.Helper()
 	fmt.Fprintf(out, "\n## %s: %s\n\n| way | %s | goodput %% | wasted %% | wait s | others %% |\n|---|%s---|---|---|---|\n",
-		m.name, s.name, strings.Join(classNames(m), " % | ")+" %", strings.Repeat("---|", len(m.classes)))
-	for i, maker := range armMakers() {
-		runs := runSeeds(m, s, maker)
+		w.name, s.name, strings.Join(classNames(w), " % | ")+" %", strings.Repeat("---|", len(w.classes)))
+	for i, maker := range strategyMakers() {
+		runs := runSeeds(w, s, maker)
 		fmt.Fprintf(out, "| %s |", maker.name)
-		for _, c := range m.classes {
-			fmt.Fprintf(out, " %s |", spread(runs, func(f figures) float64 { return f.attained[c.name] }))
+		for _, c := range w.classes {
+			fmt.Fprintf(out, " %s |", meanAndRange(runs, func(r results) float64 { return r.attained[c.name] }))
 		}
-		fmt.Fprintf(out, " %s | %s | %s | %s |\n", spread(runs, func(f figures) float64 { return f.goodput }), spread(runs, func(f figures) float64 { return f.wasted }),
-			spread(runs, func(f figures) float64 { return f.worst }), spread(runs, func(f figures) float64 { return f.others }))
+		fmt.Fprintf(out, " %s | %s | %s | %s |\n", meanAndRange(runs, func(r results) float64 { return r.goodput }), meanAndRange(runs, func(r results) float64 { return r.wasted }),
+			meanAndRange(runs, func(r results) float64 { return r.longestWait }), meanAndRange(runs, func(r results) float64 { return r.otherTeams }))
 		if i == 0 {
-			key := strings.ReplaceAll(m.name+"-"+s.name, " ", "-")
-			b.ReportMetric(mean(runs, func(f figures) float64 { return f.attained[m.classes[0].name] }), key+"-top%")
+			key := strings.ReplaceAll(w.name+"-"+s.name, " ", "-")
+			b.ReportMetric(mean(runs, func(r results) float64 { return r.attained[w.classes[0].name] }), key+"-top%")
 		}
 	}
 }
 
-func classNames(m mix) []string {
-	names := make([]string, 0, len(m.classes))
-	for _, c := range m.classes {
+func classNames(w workload) []string {
+	names := make([]string, 0, len(w.classes))
+	for _, c := range w.classes {
 		names = append(names, c.name)
 	}
 	return names
 }
 
-func runSeeds(m mix, s scenario, maker armMaker) []figures {
-	runs := make([]figures, seeds)
+func runSeeds(w workload, s scenario, maker strategyMaker) []results {
+	runs := make([]results, benchSeeds)
 	var running sync.WaitGroup
 	for i := range runs {
 		running.Add(1)
 		go func() {
 			defer running.Done()
-			runs[i] = runScenario(m, s, maker, uint64(i+1))
+			runs[i] = runScenario(w, s, maker, uint64(i+1))
 		}()
 	}
 	running.Wait()
 	return runs
 }
 
-func mean(runs []figures, of func(figures) float64) float64 {
+func mean(runs []results, value func(results) float64) float64 {
 	sum := 0.0
-	for _, f := range runs {
-		sum += of(f)
+	for _, r := range runs {
+		sum += value(r)
 	}
 	return sum / float64(len(runs))
 }
 
-func spread(runs []figures, of func(figures) float64) string {
+func meanAndRange(runs []results, value func(results) float64) string {
 	low, high := math.Inf(1), math.Inf(-1)
-	for _, f := range runs {
-		low, high = min(low, of(f)), max(high, of(f))
+	for _, r := range runs {
+		low, high = min(low, value(r)), max(high, value(r))
 	}
-	return fmt.Sprintf("%.1f (%.1f-%.1f)", mean(runs, of), low, high)
+	return fmt.Sprintf("%.1f (%.1f-%.1f)", mean(runs, value), low, high)
 }
--- a/chiveschedule/scenario_test.go
+++ b/chiveschedule/scenario_test.go
@@ -8,37 +8,38 @@
 	"chivedrift/chiveconfig"
 )
 
-// scenario is one condition under which all arms run.
+// scenario is a load condition, possibly with a fault, under which all strategies run.
 type scenario struct {
-	name     string
-	load     float64
-	burst    string
-	factor   float64
-	bigTeam  bool
-	lag      time.Duration
-	trouble  func(b *bench, a arm)
-	gateways int
-	engines  int
+	name        string
+	load        float64
+	burst       string
+	burstFactor float64
+	largeTeam   bool
+	reportLag   time.Duration
+	fault       func(sim *simulation, st strategy)
+	gateways    int
+	engines     int
 }
 
 const (
-	slotsPerEngine = 16
-	tokensPerSlot  = 9000
-	runTime        = 240 * time.Second
-	burstFrom      = 60 * time.Second
-	burstFor       = 90 * time.Second
-	teamCount      = 10
-	troubleAt      = 90 * time.Second
-	defaultLag     = time.Second
-	staleLag       = 5 * time.Second
-	todayGateways  = 8
-	todayEngines   = 9
-	drainTime      = 300 * time.Second
+	slotsPerEngine  = 16
+	tokensPerSlot   = 9000
+	arrivalPeriod   = 240 * time.Second
+	burstStart      = 60 * time.Second
+	burstDuration   = 90 * time.Second
+	teamCount       = 10
+	faultAt         = 90 * time.Second
+	defaultLag      = time.Second
+	staleLag        = 5 * time.Second
+	defaultGateways = 8
+	defaultEngines  = 9
+	drainPeriod     = 300 * time.Second
 )
 
-// scenarios lists the conditions; a burst raises its class until the whole demand is factor times the capacity.
+// scenarios returns all scenarios. A burst raises the rate of one class until the total demand is burstFactor times the
+// capacity.
 func scenarios() []scenario {
-	base := scenario{load: 0.7, gateways: todayGateways, engines: todayEngines, lag: defaultLag}
+	base := scenario{load: 0.7, gateways: defaultGateways, engines: defaultEngines, reportLag: defaultLag}
 	with := func(change func(s *scenario)) scenario {
 		s := base
 		change(&s)
@@ -46,24 +47,26 @@
 	}
 	return []scenario{
 		with(func(s *scenario) { s.name = "steady" }),
-		with(func(s *scenario) { s.name, s.burst, s.factor = "burst 1.5x", "low", 1.5 }),
-		with(func(s *scenario) { s.name, s.burst, s.factor = "burst 3x", "low", 3 }),
-		with(func(s *scenario) { s.name, s.burst, s.factor = "urgent burst 1.5x", "top", 1.5 }),
-		with(func(s *scenario) { s.name, s.bigTeam = "one team at 10x", true }),
+		with(func(s *scenario) { s.name, s.burst, s.burstFactor = "burst 1.5x", "low", 1.5 }),
+		with(func(s *scenario) { s.name, s.burst, s.burstFactor = "burst 3x", "low", 3 }),
+		with(func(s *scenario) { s.name, s.burst, s.burstFactor = "urgent burst 1.5x", "top", 1.5 }),
+		with(func(s *scenario) { s.name, s.largeTeam = "one team at 10x", true }),
 		with(func(s *scenario) {
 			s.name = "straggler"
-			s.trouble = func(b *bench, _ arm) { b.engines[0].slow = 5 }
+			s.fault = func(sim *simulation, _ strategy) { sim.engines[0].slowdown = 5 }
 		}),
-		with(func(s *scenario) { s.name, s.lag, s.burst, s.factor = "reports 5 s late, burst 3x", staleLag, "low", 3 }),
 		with(func(s *scenario) {
-			s.name, s.burst, s.factor = "scheduler lost in burst 3x", "low", 3
-			s.trouble = func(_ *bench, a arm) { a.loseScheduler() }
+			s.name, s.reportLag, s.burst, s.burstFactor = "reports 5 s late, burst 3x", staleLag, "low", 3
+		}),
+		with(func(s *scenario) {
+			s.name, s.burst, s.burstFactor = "scheduler lost in burst 3x", "low", 3
+			s.fault = func(_ *simulation, st strategy) { st.failSchedulers() }
 		}),
 		with(func(s *scenario) {
 			s.name = "failure domain lost"
-			s.trouble = func(b *bench, _ arm) {
-				for _, e := range b.engines {
-					if e.domain == "a" {
+			s.fault = func(sim *simulation, _ strategy) {
+				for _, e := range sim.engines {
+					if e.failureDomain == "a" {
 						e.fail()
 					}
 				}
@@ -71,135 +74,138 @@
 		}),
 		with(func(s *scenario) {
 			s.name = "cold prefix cache"
-			s.trouble = func(b *bench, _ arm) {
-				for _, e := range b.engines {
-					e.prefixes = nil
+			s.fault = func(sim *simulation, _ strategy) {
+				for _, e := range sim.engines {
+					e.cachedPrefixes = nil
 				}
 			}
 		}),
 		with(func(s *scenario) {
-			s.name, s.burst, s.factor, s.gateways, s.engines = "64 nodes, burst 3x", "low", 3, 64, 72
+			s.name, s.burst, s.burstFactor, s.gateways, s.engines = "64 nodes, burst 3x", "low", 3, 64, 72
 		}),
 	}
 }
 
-// armMaker makes one way of routing for a run.
-type armMaker struct {
-	name string
-	make func(b *bench) arm
+// strategyMaker creates a strategy for a run.
+type strategyMaker struct {
+	name   string
+	create func(sim *simulation) strategy
 }
 
 const shardSize = 12
 
-func armMakers() []armMaker {
-	return []armMaker{
-		{"chivedrift", func(b *bench) arm { return newShardsArm(b, "slack", shardSize, hop, false) }},
-		{"all-knowing queue", func(b *bench) arm { return newShardsArm(b, "slack", 1000, 0, true) }},
+// strategyMakers returns all strategies. "all-knowing queue" is an oracle that serves as a reference: a single
+// queue over all engines that knows every output length in advance and has no network delay.
+func strategyMakers() []strategyMaker {
+	return []strategyMaker{
+		{"chivedrift", func(sim *simulation) strategy { return newShardStrategy(sim, "slack", shardSize, networkDelay, false) }},
+		{"all-knowing queue", func(sim *simulation) strategy { return newShardStrategy(sim, "slack", 1000, 0, true) }},
 		{"fifo, round robin", roundRobin},
-		{"least of stale reports", leastOfStaleReports},
-		{"two random choices", twoChoices},
-		{"each node alone", newEachAlone},
+		{"least of stale reports", leastReportedLoad},
+		{"two random choices", powerOfTwoChoices},
+		{"each node alone", newPartitionedStrategy},
 	}
 }
 
-// figures is what one run measured, in percent but for the wait, which is in seconds.
-type figures struct {
-	attained map[string]float64
-	goodput  float64
-	wasted   float64
-	worst    float64
-	others   float64
-	unended  int
+// results holds the figures of one run: longestWait in seconds, unfinished as a count and the others in percent.
+type results struct {
+	attained    map[string]float64
+	goodput     float64
+	wasted      float64
+	longestWait float64
+	otherTeams  float64
+	unfinished  int
 }
 
-func runScenario(m mix, s scenario, maker armMaker, seed uint64) figures {
-	w := newWorld(seed)
-	b := &bench{w: w, byName: make(map[string]*engine), config: configFor(m, s), gateways: s.gateways, lag: s.lag}
-	for i, e := range b.config.Pools[0].Endpoints {
-		fake := &engine{w: w, name: e.Name, domain: e.FailureDomain, slots: slotsPerEngine, slow: 1, running: make(map[*sequence]bool), wasted: &b.wasted}
-		b.engines = append(b.engines, fake)
-		b.byName[e.Name] = b.engines[i]
+func runScenario(w workload, s scenario, maker strategyMaker, seed uint64) results {
+	loop := newEventLoop(seed)
+	sim := &simulation{loop: loop, enginesByName: make(map[string]*engine), config: configFor(w, s), gateways: s.gateways, reportLag: s.reportLag}
+	for i, e := range sim.config.Pools[0].Endpoints {
+		fake := &engine{loop: loop, name: e.Name, failureDomain: e.FailureDomain, slots: slotsPerEngine, slowdown: 1, running: make(map[*sequence]bool), wastedTokens: &sim.wastedTokens}
+		sim.engines = append(sim.engines, fake)
+		sim.enginesByName[e.Name] = sim.engines[i]
 	}
-	a := maker.make(b)
-	for _, e := range b.engines {
-		e.onFirst = func(q *sequence) {
-			if q.job.first.IsZero() {
-				q.job.first = w.now
+	st := maker.create(sim)
+	for _, e := range sim.engines {
+		e.onFirstToken = func(seq *sequence) {
+			if seq.job.firstTokenAt.IsZero() {
+				seq.job.firstTokenAt = loop.now
 			}
-			a.first(q)
+			st.firstToken(seq)
 		}
-		e.onEnd = func(q *sequence, broken bool) {
-			if !broken {
-				q.job.finished = w.now
+		e.onEnd = func(seq *sequence, failed bool) {
+			if !failed {
+				seq.job.finishedAt = loop.now
 			}
-			a.ended(q, broken)
+			st.attemptEnded(seq, failed)
 		}
 	}
 	var jobs []*job
-	for _, class := range m.classes {
-		generate(w, m, s, class, func(j *job) {
+	for _, class := range w.classes {
+		generateArrivals(loop, w, s, class, func(j *job) {
 			jobs = append(jobs, j)
-			a.arrive(j, w.random.IntN(s.gateways))
+			st.arrive(j, loop.rng.IntN(s.gateways))
 		})
 	}
-	if s.trouble != nil {
-		w.after(troubleAt, func() { s.trouble(b, a) })
+	if s.fault != nil {
+		loop.after(faultAt, func() { s.fault(sim, st) })
 	}
-	w.run(runTime + drainTime)
-	return measure(m, s, b, jobs)
+	loop.run(arrivalPeriod + drainPeriod)
+	return measure(w, s, sim, jobs)
 }
 
+// capacity returns the tokens per second that all engines together produce.
 func capacity(s scenario) float64 {
-	return float64(s.engines*slotsPerEngine) / pace.Seconds()
+	return float64(s.engines*slotsPerEngine) / timePerToken.Seconds()
 }
 
-// generate makes a class's arrivals as a Poisson process whose rate rises in the burst.
-func generate(w *world, m mix, s scenario, class *classMix, arrive func(*job)) {
-	// A request holds its slot while its prompt is read too.
-	work := class.tokens + float64(class.prompt)*prefillToken.Seconds()/pace.Seconds()
-	base := s.load * capacity(s) * class.share / work
-	if s.bigTeam {
-		base *= float64(2*teamCount-1) / teamCount
+// generateArrivals generates the arrivals of a class as a Poisson process, with a higher rate during a burst.
+func generateArrivals(loop *eventLoop, w workload, s scenario, class *trafficClass, arrive func(*job)) {
+	// A request also occupies its slot during prefill.
+	workPerRequest := class.meanTokens + float64(class.promptTokens)*prefillPerToken.Seconds()/timePerToken.Seconds()
+	baseRate := s.load * capacity(s) * class.tokenShare / workPerRequest
+	if s.largeTeam {
+		baseRate *= float64(2*teamCount-1) / teamCount
 	}
-	bursting := (s.burst == "low" && class == m.classes[2]) || (s.burst == "top" && class == m.classes[0])
+	bursting := (s.burst == "low" && class == w.classes[2]) || (s.burst == "top" && class == w.classes[0])
 	number := 0
-	var next func()
-	next = func() {
-		at := w.now.Sub(dawn)
-		rate := base
-		if bursting && at >= burstFrom && at < burstFrom+burstFor {
-			rate += (s.factor - s.load) * capacity(s) / work
+	var scheduleNext func()
+	scheduleNext = func() {
+		elapsed := loop.now.Sub(simulationStart)
+		rate := baseRate
+		if bursting && elapsed >= burstStart && elapsed < burstStart+burstDuration {
+			rate += (s.burstFactor - s.load) * capacity(s) / workPerRequest
 		}
-		gap := time.Duration(w.random.ExpFloat64() / rate * float64(time.Second))
-		w.after(gap, func() {
-			if w.now.Sub(dawn) > runTime {
+		gap := time.Duration(loop.rng.ExpFloat64() / rate * float64(time.Second))
+		loop.after(gap, func() {
+			if loop.now.Sub(simulationStart) > arrivalPeriod {
 				return
 			}
 			number++
-			arrive(newJob(w, s, class, number))
-			next()
+			arrive(newJob(loop, s, class, number))
+			scheduleNext()
 		})
 	}
-	next()
+	scheduleNext()
 }
 
-func newJob(w *world, s scenario, class *classMix, number int) *job {
-	team := w.random.IntN(teamCount)
-	if s.bigTeam && w.random.IntN(2*teamCount-1) < teamCount {
+func newJob(loop *eventLoop, s scenario, class *trafficClass, number int) *job {
+	team := loop.rng.IntN(teamCount)
+	if s.largeTeam && loop.rng.IntN(2*teamCount-1) < teamCount {
 		team = 0
 	}
 	return &job{
-		id: fmt.Sprintf("%s-%d", class.name, number), class: class, team: fmt.Sprintf("t%d", team), arrival: w.now,
-		prefix: uint64(1 + team*100 + w.random.IntN(20)), prompt: class.prompt, length: w.lengthOf(class.tokens),
+		id: fmt.Sprintf("%s-%d", class.name, number), class: class, team: fmt.Sprintf("t%d", team), arrival: loop.now,
+		prefix: uint64(1 + team*100 + loop.rng.IntN(20)), promptTokens: class.promptTokens, outputTokens: loop.drawOutputTokens(class.meanTokens),
 	}
 }
 
-func configFor(m mix, s scenario) *chiveconfig.Config {
+func configFor(w workload, s scenario) *chiveconfig.Config {
 	config := &chiveconfig.Config{Tiers: []chiveconfig.Tier{{Name: "0"}, {Name: "1"}, {Name: "2"}, {Name: "3"}}}
-	for _, c := range m.classes {
+	for _, c := range w.classes {
 		config.Classes = append(config.Classes, chiveconfig.Class{
-			Name: c.name, Tier: fmt.Sprint(c.tier), FirstTokenMs: c.target.Milliseconds(), DeadlineMs: c.deadline.Milliseconds(),
-			Protected: c.protected, MinSharePercent: c.minShare, ExpectedTokens: c.expected, Repeatable: true,
+			Name: c.name, Tier: fmt.Sprint(c.tier), FirstTokenMs: c.firstTokenTarget.Milliseconds(), DeadlineMs: c.deadline.Milliseconds(),
+			Protected: c.protected, MinSharePercent: c.minShare, ExpectedTokens: c.expectedTokens, Repeatable: true,
 		})
 	}
 	for i := range teamCount {
@@ -216,48 +222,49 @@
 	return config
 }
 
-// measure counts the requests that arrived in the run; one without an end by the close counts as not attained.
-func measure(m mix, s scenario, b *bench, jobs []*job) figures {
-	f := figures{attained: make(map[string]float64)}
+// measure computes the results over all requests that arrived; a request that has not ended by the end of the run
+// counts as not attained.
+func measure(w workload, s scenario, sim *simulation, jobs []*job) results {
+	r := results{attained: make(map[string]float64)}
 	arrived, met := make(map[string]float64), make(map[string]float64)
 	otherArrived, otherMet := 0.0, 0.0
-	useful, thrown := int64(0), b.wasted
+	useful, discarded := int64(0), sim.wastedTokens
 	for _, j := range jobs {
 		arrived[j.class.name]++
 		switch {
-		case !j.finished.IsZero():
-			useful += j.length
+		case !j.finishedAt.IsZero():
+			useful += j.outputTokens
 		case j.shed:
-			thrown += j.done
+			discarded += j.doneTokens
 		default:
-			f.unended++
+			r.unfinished++
 		}
-		if j.met() {
+		if j.metTargets() {
 			met[j.class.name]++
 		}
 		if j.team != "t0" {
 			otherArrived++
-			if j.met() {
+			if j.metTargets() {
 				otherMet++
 			}
 		}
-		if j.class == m.classes[3] {
-			f.worst = max(f.worst, waited(b.w.now, j))
+		if j.class == w.classes[3] {
+			r.longestWait = max(r.longestWait, waitSeconds(sim.loop.now, j))
 		}
 	}
-	for _, c := range m.classes {
-		f.attained[c.name] = 100 * met[c.name] / max(arrived[c.name], 1)
+	for _, c := range w.classes {
+		r.attained[c.name] = 100 * met[c.name] / max(arrived[c.name], 1)
 	}
-	f.others = 100 * otherMet / max(otherArrived, 1)
-	f.goodput = 100 * float64(useful) / (capacity(s) * runTime.Seconds())
-	f.wasted = 100 * float64(thrown) / float64(max(useful+thrown, 1))
-	return f
+	r.otherTeams = 100 * otherMet / max(otherArrived, 1)
+	r.goodput = 100 * float64(useful) / (capacity(s) * arrivalPeriod.Seconds())
+	r.wasted = 100 * float64(discarded) / float64(max(useful+discarded, 1))
+	return r
 }
 
-func waited(now time.Time, j *job) float64 {
+func waitSeconds(now time.Time, j *job) float64 {
 	switch {
-	case !j.first.IsZero():
-		return j.first.Sub(j.arrival).Seconds()
+	case !j.firstTokenAt.IsZero():
+		return j.firstTokenAt.Sub(j.arrival).Seconds()
 	case j.shed:
 		return 0
 	}
--- a/chiveschedule/shard.go
+++ b/chiveschedule/shard.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Decision is what a shard tells a gateway: exactly one of the messages is set.
+// Decision is a message from a shard to a gateway; exactly one of the message fields is set.
 type Decision struct {
 	Gateway string
 	Grant   *SlotGrant
@@ -14,7 +14,7 @@
 	Preempt *SlotPreempt
 }
 
-// Shard holds the queue and the ledger of the endpoints of one shard.
+// Shard holds the queue and the slot accounting of the endpoints of one shard; it is not safe for concurrent use.
 type Shard struct {
 	id                   string
 	incarnation          int64
@@ -34,7 +34,7 @@
 	counts               Counts
 }
 
-// Counts sums up a shard's decisions since its start.
+// Counts holds the totals of a shard's decisions since it was created.
 type Counts struct {
 	Submitted int64 `json:"submitted"`
 	Granted   int64 `json:"granted"`
@@ -49,7 +49,7 @@
 	attempt int
 }
 
-// waitingRequest is a queued request.
+// waitingRequest is a queued request; due is the time by which it needs a slot to meet its first-token target.
 type waitingRequest struct {
 	request           SlotRequest
 	gateway           string
@@ -63,15 +63,15 @@
 	late              bool
 }
 
-// Place returns tier, class and team.
+// Place returns the tier, the class and the team.
 func (w *waitingRequest) Place() (tier int, class, team string) {
 	return w.class.tier, w.class.name, w.request.Team
 }
 
-// Due returns when the first token is due.
+// Due returns the time by which the request needs a slot to meet its first-token target.
 func (w *waitingRequest) Due() time.Time { return w.due }
 
-// Cost returns the estimated work in tokens.
+// Cost returns the estimated cost in tokens.
 func (w *waitingRequest) Cost() int64 { return w.cost }
 
 // grant is a slot in use.
@@ -102,7 +102,7 @@
 	leadTimeFactor      = 1.5
 )
 
-// Refusal reasons, as callers and operators see them.
+// Refusal reasons, as shown to callers and operators.
 const (
 	ReasonDeadline = "deadline_cannot_be_met"
 	ReasonFull     = "queue_full"
@@ -110,7 +110,8 @@
 	ReasonNoneUp   = "no_endpoint_up"
 )
 
-// NewShard returns a shard whose scheduler has just taken over: until it knows what its predecessor granted it uses half of the capacity.
+// NewShard returns a shard that this scheduler has just taken over. For takeoverPeriod it uses only half of the
+// capacity, until the gateways have reported the slots that the previous scheduler granted.
 func NewShard(id string, incarnation int64, config *Plan, now time.Time) *Shard {
 	s := &Shard{
 		id: id, incarnation: incarnation, byName: make(map[string]*endpoint),
@@ -121,7 +122,7 @@
 	return s
 }
 
-// SetPlan takes a new plan; ledgers of endpoints that stay are kept, and so is every waiting request.
+// SetPlan applies a new plan; the state of the remaining endpoints and all waiting requests are kept.
 func (s *Shard) SetPlan(now time.Time, config *Plan) {
 	previous := s.byName
 	s.config = config
@@ -139,7 +140,7 @@
 	s.rebuildQueue(now)
 }
 
-// rebuildQueue moves every waiting request into a queue made by the plan's policy.
+// rebuildQueue moves all waiting requests to a new queue with the plan's policy.
 func (s *Shard) rebuildQueue(now time.Time) {
 	newQueue, ok := Policies[*waitingRequest]()[s.config.policy]
 	if !ok {
@@ -176,7 +177,7 @@
 
 // ---------------------------------------------------------------- inputs
 
-// Submit queues a request for a slot, or answers it at once.
+// Submit queues a request for a slot, or grants or refuses it immediately.
 func (s *Shard) Submit(now time.Time, gateway string, r SlotRequest) []Decision {
 	key := attemptKey{r.ID, r.Attempt}
 	if g, ok := s.granted[key]; ok {
@@ -226,7 +227,7 @@
 	}
 }
 
-// Withdraw forgets a request that its gateway no longer wants.
+// Withdraw removes a request that its gateway has cancelled from the queue.
 func (s *Shard) Withdraw(now time.Time, id string, attempt int) []Decision {
 	key := attemptKey{id, attempt}
 	if w, ok := s.waiting[key]; ok {
@@ -235,14 +236,14 @@
 	return nil
 }
 
-// dequeue takes a request out of the queue; granted reports whether it got a slot.
+// dequeue removes a request from the queue; granted says whether it got a slot.
 func (s *Shard) dequeue(now time.Time, w *waitingRequest, granted bool) {
 	delete(s.waiting, attemptKey{w.request.ID, w.request.Attempt})
 	s.queue.Remove(now, w, granted)
 	s.backlog.remove(w)
 }
 
-// Progress notes how a granted request goes on.
+// Progress records the progress of a granted request.
 func (s *Shard) Progress(now time.Time, p SlotProgress) {
 	e, ok := s.byName[p.Endpoint]
 	if !ok {
@@ -258,10 +259,11 @@
 	}
 }
 
-// grantLeadTime is how long before its target a request of a class must get its slot, from the times to the first token seen.
+// grantLeadTime returns how long before its first-token target a request of a class needs its slot, from the measured
+// times to first token.
 //
-// Without it the queue serves the request that is due next until the very moment its target passes: under overload
-// nearly every grant went to a request that missed its target by the time of one prefill.
+// Without it the queue would serve requests up to the moment their target passes: under overload, nearly every grant
+// went to a request that then missed its target by the duration of one prefill.
 func (s *Shard) grantLeadTime(class *ClassPlan) time.Duration {
 	lead := time.Duration(leadTimeFactor * s.firstTokenMsByClass[class.name] * float64(time.Millisecond))
 	return min(lead, class.firstTokenTarget/2)
@@ -274,7 +276,7 @@
 	return float64(streamMs) / float64(tokens-1)
 }
 
-// Finish takes a slot back and grants what it frees.
+// Finish releases a slot and grants slots to waiting requests.
 func (s *Shard) Finish(now time.Time, d SlotDone) []Decision {
 	key := attemptKey{d.ID, d.Attempt}
 	if e, ok := s.byName[d.Endpoint]; ok {
@@ -306,17 +308,18 @@
 	}
 }
 
-// Leaving notes that an endpoint takes no new work.
+// Leaving marks an endpoint as draining: it gets no new requests for drainingPeriod.
 func (s *Shard) Leaving(now time.Time, name string) {
 	if e, ok := s.byName[name]; ok {
 		e.markDraining(now)
 	}
 }
 
-// Adopt corrects the ledger by a gateway's own statement of what it runs.
+// Adopt reconciles the slot accounting with the list of slots that a gateway holds.
 //
-// Grants can be lost with a connection or with the scheduler that made them; without the statement a new scheduler
-// would overbook endpoints, and an old one would keep slots for requests that ended.
+// Grants and releases can be lost with a connection or a scheduler. Without the list a new scheduler would overbook the
+// endpoints, and an existing one would keep slots for requests that have ended. Grants made within the last
+// grantInFlightPeriod are kept even when the list omits them.
 func (s *Shard) Adopt(now time.Time, gateway string, a SlotAdopt) []Decision {
 	reported := make(map[attemptKey]bool, len(a.Holds))
 	for _, h := range a.Holds {
@@ -343,7 +346,7 @@
 	s.counts.Adopted++
 }
 
-// Forget frees everything that a dead gateway had queued or running.
+// Forget removes the waiting requests and releases the slots of a failed gateway.
 func (s *Shard) Forget(now time.Time, gateway string) []Decision {
 	for _, w := range s.waiting {
 		if w.gateway == gateway {
@@ -359,7 +362,8 @@
 	return s.grantSlots(now)
 }
 
-// Tick answers requests that can no longer meet their deadline, forgives stragglers and preempts where that saves urgent work.
+// Tick does the periodic work: it updates the latency figures, refuses requests that can no longer meet their deadline,
+// grants free slots and preempts less urgent requests.
 func (s *Shard) Tick(now time.Time) []Decision {
 	s.drainRate.advanceWindow(now)
 	s.medianTimePerTokenMs = medianTimePerToken(s.endpoints)
--- a/chiveschedule/shard_state.go
+++ b/chiveschedule/shard_state.go
@@ -4,22 +4,22 @@
 	"time"
 )
 
-// Waiting returns how many requests wait.
+// Waiting returns the number of waiting requests.
 func (s *Shard) Waiting() int { return len(s.waiting) }
 
-// Running returns how many slots are in use.
+// Running returns the number of slots in use.
 func (s *Shard) Running() int { return len(s.granted) }
 
-// Counts returns the sums of the shard's decisions.
+// Counts returns the totals of the shard's decisions.
 func (s *Shard) Counts() Counts { return s.counts }
 
-// WaitOf estimates how long a new request of a class would wait, from the work ahead of it and the measured drain rate.
+// WaitOf estimates how long a new request of a class would wait, from the work ahead of it and the measured throughput.
 func (s *Shard) WaitOf(class string) time.Duration {
 	c := s.config.class(class)
 	return s.queueWait(c.tier)
 }
 
-// EndpointState is the dump of one endpoint's ledger.
+// EndpointState is the state of one endpoint in the state dump.
 type EndpointState struct {
 	Name      string  `json:"name"`
 	Sequences int64   `json:"sequences"`
@@ -43,7 +43,7 @@
 	return states
 }
 
-// LoadPercent sums up running and waiting work against the capacity, so that gateways can compare shards.
+// LoadPercent returns the running and waiting work in percent of the capacity; gateways use it to compare shards.
 func (s *Shard) LoadPercent() int {
 	work, capacity := int64(0), int64(0)
 	for _, e := range s.endpoints {
@@ -57,7 +57,7 @@
 	return int(work * percentFactor / capacity)
 }
 
-// Close refuses everything that waits, because the configuration no longer has the shard.
+// Close refuses all waiting requests, because the shard was removed from the configuration.
 func (s *Shard) Close() []Decision {
 	var out []Decision
 	for _, w := range s.sortedWaiting() {
--- a/chiveschedule/shed.go
+++ b/chiveschedule/shed.go
@@ -4,11 +4,11 @@
 	"time"
 )
 
-// A request that cannot be served in time is answered finally and at once, with when to come back: holding it back
-// would only keep its caller from trying elsewhere. What lies ahead of a request counts only work of its own and of
-// more urgent tiers, so a protected class is never shed for lower work.
+// A request that cannot be served in time is refused immediately, with a retry time: queuing it would only keep its
+// caller from trying elsewhere. The wait of a request is estimated from the work of its own tier and of more urgent
+// tiers, so a protected class is never shed because of less urgent work.
 
-// admit returns why a request is refused at its arrival, or an empty reason.
+// admit returns the reason to refuse a new request and when to retry, or an empty reason to accept it.
 func (s *Shard) admit(now time.Time, w *waitingRequest) (reason string, retryAfter time.Duration) {
 	if !s.fitsAnywhere(w) {
 		return ReasonTooLarge, maxRetryAfter
@@ -26,8 +26,8 @@
 	return "", 0
 }
 
-// unservable returns the waiting requests to give up on, the oldest first: those that would miss their deadline even with
-// a slot now, and unprotected ones that missed their target and have too much work ahead to make the deadline.
+// unservable returns the waiting requests to refuse, the oldest first: those that would miss their deadline even if
+// they got a slot now, and unprotected late ones that would miss it because of the work ahead of them.
 func (s *Shard) unservable(now time.Time) []*waitingRequest {
 	var list []*waitingRequest
 	for _, w := range s.waiting {
@@ -61,7 +61,8 @@
 	return false
 }
 
-// serviceTime is how long a request takes once it runs, by the median pace; short of samples it is taken as instant.
+// serviceTime estimates the time to produce the request's output, from the median time per output token; it is zero
+// without enough samples.
 func (s *Shard) serviceTime(w *waitingRequest) time.Duration {
 	return time.Duration(s.medianTimePerTokenMs*float64(w.expectedRemaining)) * time.Millisecond
 }
@@ -70,12 +71,12 @@
 	return s.queueWait(w.class.tier)
 }
 
-// queueWait divides the work ahead of a new request of a tier by the measured drain rate; zero while nothing was measured.
+// queueWait estimates how long a new request of a tier waits; it is zero until a throughput was measured.
 func (s *Shard) queueWait(tier int) time.Duration {
 	return s.drainTime(s.backlog.workAhead(tier, false))
 }
 
-// lateQueueWait is the same for a request that missed its target, which all others of its tier go before.
+// lateQueueWait is queueWait for a late request, which waits for all other work of its tier.
 func (s *Shard) lateQueueWait(tier int) time.Duration {
 	return s.drainTime(s.backlog.workAhead(tier, true))
 }
@@ -87,7 +88,8 @@
 	return time.Duration(float64(work) / s.drainRate.tokensPerSecond * float64(time.Second))
 }
 
-// evictionVictim finds a waiting request to make room in a full queue: the newest of the lowest tier below, never a protected one.
+// evictionVictim selects a waiting request to refuse when the queue is full: the newest unprotected one of the least
+// urgent tier below the incoming request's.
 func (s *Shard) evictionVictim(incoming *waitingRequest) (*waitingRequest, bool) {
 	var victim *waitingRequest
 	for _, w := range s.waiting {
--- a/chiveschedule/slot.go
+++ b/chiveschedule/slot.go
@@ -23,7 +23,8 @@
 	preempted      chan struct{}
 }
 
-// Ending is how an attempt ended, its lengths in tokens and its times since the slot was granted.
+// Ending reports the progress or the end of an attempt: Tokens is the output so far, First the time from the grant to
+// the first token and Stream the time since the first token.
 type Ending struct {
 	Result Result
 	Tokens int64
@@ -31,7 +32,7 @@
 	Stream time.Duration
 }
 
-// registerSlot records a grant that a request took.
+// registerSlot records a granted slot as held by this gateway.
 func (c *Client) registerSlot(p *pendingRequest, answer slotAnswer) *Slot {
 	g := answer.grant
 	s := &Slot{
@@ -52,20 +53,20 @@
 	return s
 }
 
-// Endpoint returns the endpoint to call; its address is empty when the configuration has dropped it meanwhile.
+// Endpoint returns the endpoint to call; its address is empty when it has been removed from the configuration.
 func (s *Slot) Endpoint() chiveconfig.Endpoint { return s.endpoint }
 
-// Grant returns the scheduler's message, with the candidates it weighed.
+// Grant returns the scheduler's grant, with the candidates it considered.
 func (s *Slot) Grant() SlotGrant { return s.grant }
 
-// Preempted is closed when the scheduler wants the slot back for more urgent work.
+// Preempted returns a channel that is closed when the scheduler reclaims the slot for a more urgent request.
 func (s *Slot) Preempted() <-chan struct{} { return s.preempted }
 
 func (s *Slot) signalPreemption() {
 	s.preemptOnce.Do(func() { close(s.preempted) })
 }
 
-// Progress tells the scheduler how the attempt goes on.
+// Progress reports the attempt's progress to the scheduler.
 func (s *Slot) Progress(e Ending) {
 	message := SlotProgress{
 		Shard: s.shard, ID: s.attemptKey.id, Attempt: s.attemptKey.attempt, Endpoint: s.endpoint.Name,
@@ -74,7 +75,7 @@
 	s.sendToScheduler(chivewire.KindSlotProgress, message)
 }
 
-// Done gives the slot back; it is called exactly once.
+// Done releases the slot and reports how the attempt ended; it must be called exactly once.
 func (s *Slot) Done(e Ending) {
 	c := s.client
 	c.mu.Lock()
@@ -90,7 +91,8 @@
 	s.sendToScheduler(chivewire.KindSlotDone, message)
 }
 
-// sendToScheduler reaches the scheduler that keeps the shard's ledger now, which may be another than the one that granted.
+// sendToScheduler sends a message to the shard's current scheduler, which may differ from the one that granted the
+// slot.
 func (s *Slot) sendToScheduler(kind chivewire.Kind, message any) {
 	if s.grantedLocally {
 		return
@@ -102,6 +104,6 @@
 	if scheduler == "" {
 		return
 	}
-	// When this is lost with its connection, the statement that follows the loss frees the slot.
+	// If the message is lost with the connection, the SlotAdopt sent after the loss releases the slot.
 	_ = c.mesh.Send(scheduler, kind, message)
 }
