--- a/chiveschedule/arms_test.go
+++ b/chiveschedule/arms_test.go
@@ -9,360 +9,365 @@
 	"chivedrift/chiveschedule"
 )
 
-// An arm is one way of routing, run on the same traffic as all others.
-type arm interface {
+// strategy is a routing strategy; all strategies run on the same traffic.
+type strategy interface {
 	arrive(j *job, gateway int)
-	ended(s *sequence, broken bool)
-	first(s *sequence)
-	loseScheduler()
+	attemptEnded(s *sequence, failed bool)
+	firstToken(s *sequence)
+	failSchedulers()
 }
 
-// bench is one run: the world, the engines and the fleet's size.
-type bench struct {
-	w        *world
-	engines  []*engine
-	byName   map[string]*engine
-	config   *chiveconfig.Config
-	gateways int
-	lag      time.Duration
-	wasted   int64
+// simulation holds the event loop, the engines and the configuration of one run.
+type simulation struct {
+	loop          *eventLoop
+	engines       []*engine
+	enginesByName map[string]*engine
+	config        *chiveconfig.Config
+	gateways      int
+	reportLag     time.Duration
+	wastedTokens  int64
 }
 
-const hop = 500 * time.Microsecond
-
-// ---------------------------------------------------------------- chivedrift's own decisions
-
-// shardsArm routes through real shards: Submit, Progress, Finish, Tick, Adopt with the network's delay between.
-type shardsArm struct {
-	b         *bench
-	routes    []chiveroute.Shard
-	shards    map[string]*chiveschedule.Shard
-	choice    *chiveroute.Choice
-	delay     time.Duration
-	knowing   bool
-	placed    map[*job]string
-	jobs      map[string]*job
-	lost      map[string]bool
-	preempted int
+const networkDelay = 500 * time.Microsecond
+
+// ---------------------------------------------------------------- chivedrift
+
+// shardStrategy routes through chiveschedule shards and delays each message to or from them by the network delay.
+type shardStrategy struct {
+	sim           *simulation
+	routes        []chiveroute.Shard
+	shards        map[string]*chiveschedule.Shard
+	choice        *chiveroute.Choice
+	delay         time.Duration
+	lengthsKnown  bool
+	shardOf       map[*job]string
+	jobs          map[string]*job
+	schedulerDown map[string]bool
+	preemptions   int
 }
 
 const (
-	tickEvery    = 100 * time.Millisecond
-	takeoverTime = 600 * time.Millisecond // a gateway waits 500 ms for a word, then asks the next
+	tickInterval = 100 * time.Millisecond
+	takeoverTime = 600 * time.Millisecond // a gateway waits 500 ms for an answer before it asks the next scheduler
 )
 
-func newShardsArm(b *bench, policy string, perShard int64, delay time.Duration, knowing bool) *shardsArm {
-	config := *b.config
+func newShardStrategy(sim *simulation, policy string, endpointsPerShard int64, delay time.Duration, lengthsKnown bool) *shardStrategy {
+	config := *sim.config
 	config.Routing.Policy = policy
-	config.Routing.EndpointsPerShard = perShard
-	a := &shardsArm{
-		b: b, routes: chiveroute.Shards(&config), shards: make(map[string]*chiveschedule.Shard), choice: chiveroute.NewChoice(b.w.random.IntN),
-		delay: delay, knowing: knowing, placed: make(map[*job]string), jobs: make(map[string]*job), lost: make(map[string]bool),
+	config.Routing.EndpointsPerShard = endpointsPerShard
+	st := &shardStrategy{
+		sim: sim, routes: chiveroute.Shards(&config), shards: make(map[string]*chiveschedule.Shard), choice: chiveroute.NewChoice(sim.loop.rng.IntN),
+		delay: delay, lengthsKnown: lengthsKnown, shardOf: make(map[*job]string), jobs: make(map[string]*job), schedulerDown: make(map[string]bool),
 	}
-	for _, r := range a.routes {
-		a.shards[r.ID()] = chiveschedule.NewShard(r.ID(), 1, chiveschedule.NewPlan(&config, r.Endpoints()), dawn.Add(-time.Minute))
+	for _, r := range st.routes {
+		st.shards[r.ID()] = chiveschedule.NewShard(r.ID(), 1, chiveschedule.NewPlan(&config, r.Endpoints()), simulationStart.Add(-time.Minute))
 	}
-	a.tick()
-	return a
+	st.tick()
+	return st
 }
 
-func (a *shardsArm) tick() {
-	for _, r := range a.routes {
-		if !a.lost[r.ID()] {
-			a.handle(a.shards[r.ID()].Tick(a.b.w.now))
+func (st *shardStrategy) tick() {
+	for _, r := range st.routes {
+		if !st.schedulerDown[r.ID()] {
+			st.sendDecisions(st.shards[r.ID()].Tick(st.sim.loop.now))
 		}
 	}
-	a.b.w.after(tickEvery, a.tick)
+	st.sim.loop.after(tickInterval, st.tick)
 }
 
-func (a *shardsArm) arrive(j *job, gateway int) {
-	a.jobs[j.id] = j
-	r, _ := a.choice.Pick(a.b.w.now, j.prefix, a.routes, nil)
-	a.placed[j] = r.ID()
-	a.submit(j, gateway)
+func (st *shardStrategy) arrive(j *job, gateway int) {
+	st.jobs[j.id] = j
+	r, _ := st.choice.Pick(st.sim.loop.now, j.prefix, st.routes, nil)
+	st.shardOf[j] = r.ID()
+	st.submit(j, gateway)
 }
 
-func (a *shardsArm) submit(j *job, gateway int) {
+func (st *shardStrategy) submit(j *job, gateway int) {
 	j.attempt++
 	request := chiveschedule.SlotRequest{
-		Shard: a.placed[j], ID: j.id, Attempt: j.attempt, Class: j.class.name, Team: j.team, Prefix: j.prefix, PromptTokens: j.prompt,
-		DoneTokens: j.done, ArrivalMs: j.arrival.UnixMilli(), DeadlineMs: j.deadline().UnixMilli(), Exclude: j.exclude, Repeatable: true,
+		Shard: st.shardOf[j], ID: j.id, Attempt: j.attempt, Class: j.class.name, Team: j.team, Prefix: j.prefix, PromptTokens: j.promptTokens,
+		DoneTokens: j.doneTokens, ArrivalMs: j.arrival.UnixMilli(), DeadlineMs: j.deadline().UnixMilli(), Exclude: j.exclude, Repeatable: true,
 	}
-	if a.knowing {
-		request.MaxTokens = j.length
+	if st.lengthsKnown {
+		request.MaxTokens = j.outputTokens
 	}
-	a.b.w.after(a.delay, func() { a.ask(gatewayName(gateway), request) })
+	st.sim.loop.after(st.delay, func() { st.sendRequest(gatewayName(gateway), request) })
 }
 
-// ask reaches the shard's scheduler; while it is lost the request waits at its gateway for the takeover.
-func (a *shardsArm) ask(gateway string, request chiveschedule.SlotRequest) {
-	if a.jobs[request.ID].attempt != request.Attempt {
+// sendRequest submits a request to the shard; while its scheduler is down, the gateway retries until the takeover.
+func (st *shardStrategy) sendRequest(gateway string, request chiveschedule.SlotRequest) {
+	if st.jobs[request.ID].attempt != request.Attempt {
 		return
 	}
-	if a.lost[request.Shard] {
-		a.b.w.after(tickEvery, func() { a.ask(gateway, request) })
+	if st.schedulerDown[request.Shard] {
+		st.sim.loop.after(tickInterval, func() { st.sendRequest(gateway, request) })
 		return
 	}
-	a.handle(a.shards[request.Shard].Submit(a.b.w.now, gateway, request))
+	st.sendDecisions(st.shards[request.Shard].Submit(st.sim.loop.now, gateway, request))
 }
 
 func gatewayName(i int) string { return fmt.Sprintf("g%d", i) }
 
-func (a *shardsArm) handle(decisions []chiveschedule.Decision) {
+func (st *shardStrategy) sendDecisions(decisions []chiveschedule.Decision) {
 	for _, d := range decisions {
-		a.b.w.after(a.delay, func() { a.receive(d) })
+		st.sim.loop.after(st.delay, func() { st.onDecision(d) })
 	}
 }
 
-func (a *shardsArm) receive(d chiveschedule.Decision) {
+func (st *shardStrategy) onDecision(d chiveschedule.Decision) {
 	switch {
 	case d.Grant != nil:
-		a.choice.Observe(a.b.w.now, d.Grant.Shard, d.Grant.LoadPercent)
-		a.start(a.jobs[d.Grant.ID], d)
+		st.choice.Observe(st.sim.loop.now, d.Grant.Shard, d.Grant.LoadPercent)
+		st.startAttempt(st.jobs[d.Grant.ID], d)
 	case d.Refusal != nil:
-		a.choice.Observe(a.b.w.now, d.Refusal.Shard, d.Refusal.LoadPercent)
-		a.jobs[d.Refusal.ID].shed = true
-		a.jobs[d.Refusal.ID].finished = time.Time{}
+		st.choice.Observe(st.sim.loop.now, d.Refusal.Shard, d.Refusal.LoadPercent)
+		st.jobs[d.Refusal.ID].shed = true
+		st.jobs[d.Refusal.ID].finishedAt = time.Time{}
 	case d.Preempt != nil:
-		a.preempt(a.jobs[d.Preempt.ID])
+		st.preempt(st.jobs[d.Preempt.ID])
 	}
 }
 
-func (a *shardsArm) start(j *job, d chiveschedule.Decision) {
+func (st *shardStrategy) startAttempt(j *job, d chiveschedule.Decision) {
 	gateway := 0
 	fmt.Sscanf(d.Gateway, "g%d", &gateway)
-	s := &sequence{job: j, engine: a.b.byName[d.Grant.Endpoint], gateway: gateway, granted: a.b.w.now}
-	j.run = s
+	s := &sequence{job: j, engine: st.sim.enginesByName[d.Grant.Endpoint], gateway: gateway, grantedAt: st.sim.loop.now}
+	j.current = s
 	s.engine.submit(s)
 }
 
-func (a *shardsArm) first(s *sequence) {
+func (st *shardStrategy) firstToken(s *sequence) {
 	message := chiveschedule.SlotProgress{
-		Shard: a.placed[s.job], ID: s.job.id, Attempt: s.job.attempt, Endpoint: s.engine.name, Tokens: 1,
-		FirstMs: a.b.w.now.Sub(s.granted).Milliseconds(),
+		Shard: st.shardOf[s.job], ID: s.job.id, Attempt: s.job.attempt, Endpoint: s.engine.name, Tokens: 1,
+		FirstMs: st.sim.loop.now.Sub(s.grantedAt).Milliseconds(),
 	}
-	a.send(message.Shard, func(shard *chiveschedule.Shard) { shard.Progress(a.b.w.now, message) })
-	a.progress(s)
+	st.sendToShard(message.Shard, func(shard *chiveschedule.Shard) { shard.Progress(st.sim.loop.now, message) })
+	st.reportProgress(s)
 }
 
-// progress reports a long stream now and then, as the dispatcher does.
-func (a *shardsArm) progress(s *sequence) {
-	const every = 5 * time.Second
-	a.b.w.after(every, func() {
+// reportProgress reports the progress of a long stream periodically, as the dispatcher does.
+func (st *shardStrategy) reportProgress(s *sequence) {
+	const progressInterval = 5 * time.Second
+	st.sim.loop.after(progressInterval, func() {
 		if s.ended {
 			return
 		}
 		message := chiveschedule.SlotProgress{
-			Shard: a.placed[s.job], ID: s.job.id, Attempt: s.job.attempt, Endpoint: s.engine.name, Tokens: s.produced(a.b.w.now),
-			StreamMs: a.b.w.now.Sub(s.began.Add(s.prefill)).Milliseconds(),
+			Shard: st.shardOf[s.job], ID: s.job.id, Attempt: s.job.attempt, Endpoint: s.engine.name, Tokens: s.producedTokens(st.sim.loop.now),
+			StreamMs: st.sim.loop.now.Sub(s.startedAt.Add(s.prefill)).Milliseconds(),
 		}
-		a.send(message.Shard, func(shard *chiveschedule.Shard) { shard.Progress(a.b.w.now, message) })
-		a.progress(s)
+		st.sendToShard(message.Shard, func(shard *chiveschedule.Shard) { shard.Progress(st.sim.loop.now, message) })
+		st.reportProgress(s)
 	})
 }
 
-func (a *shardsArm) send(id string, act func(*chiveschedule.Shard)) {
-	a.b.w.after(a.delay, func() {
-		if !a.lost[id] {
-			act(a.shards[id])
+func (st *shardStrategy) sendToShard(id string, deliver func(*chiveschedule.Shard)) {
+	st.sim.loop.after(st.delay, func() {
+		if !st.schedulerDown[id] {
+			deliver(st.shards[id])
 		}
 	})
 }
 
-func (a *shardsArm) done(s *sequence, result chiveschedule.Result) {
+func (st *shardStrategy) reportDone(s *sequence, result chiveschedule.Result) {
 	message := chiveschedule.SlotDone{
-		Shard: a.placed[s.job], ID: s.job.id, Attempt: s.job.attempt, Endpoint: s.engine.name, Class: s.job.class.name, Team: s.job.team,
-		Result: result, Tokens: s.job.done - s.from, StreamMs: a.b.w.now.Sub(s.began.Add(s.prefill)).Milliseconds(),
+		Shard: st.shardOf[s.job], ID: s.job.id, Attempt: s.job.attempt, Endpoint: s.engine.name, Class: s.job.class.name, Team: s.job.team,
+		Result: result, Tokens: s.job.doneTokens - s.doneBefore, StreamMs: st.sim.loop.now.Sub(s.startedAt.Add(s.prefill)).Milliseconds(),
 	}
-	a.send(message.Shard, func(shard *chiveschedule.Shard) { a.handle(shard.Finish(a.b.w.now, message)) })
+	st.sendToShard(message.Shard, func(shard *chiveschedule.Shard) { st.sendDecisions(shard.Finish(st.sim.loop.now, message)) })
 }
 
-func (a *shardsArm) ended(s *sequence, broken bool) {
-	if !broken {
-		a.done(s, chiveschedule.ResultOK)
+func (st *shardStrategy) attemptEnded(s *sequence, failed bool) {
+	if !failed {
+		st.reportDone(s, chiveschedule.ResultOK)
 		return
 	}
-	a.done(s, chiveschedule.ResultFailed)
+	st.reportDone(s, chiveschedule.ResultFailed)
 	s.job.exclude = append(s.job.exclude, s.engine.name)
-	a.submit(s.job, s.gateway)
+	st.submit(s.job, s.gateway)
 }
 
-func (a *shardsArm) preempt(j *job) {
-	s := j.run
+func (st *shardStrategy) preempt(j *job) {
+	s := j.current
 	if s == nil || s.ended {
 		return
 	}
-	a.preempted++
+	st.preemptions++
 	s.engine.cancel(s)
-	a.done(s, chiveschedule.ResultCancelled)
-	a.submit(j, s.gateway)
+	st.reportDone(s, chiveschedule.ResultCancelled)
+	st.submit(j, s.gateway)
 }
 
-// loseScheduler loses every shard's queue and ledger; after the takeover gateways ask again and state what they run.
-func (a *shardsArm) loseScheduler() {
-	for _, r := range a.routes {
-		a.lost[r.ID()] = true
+// failSchedulers discards the queue and the slot accounting of every shard. After the takeover, gateways submit waiting
+// requests again and report the slots that they hold.
+func (st *shardStrategy) failSchedulers() {
+	for _, r := range st.routes {
+		st.schedulerDown[r.ID()] = true
 	}
-	a.b.w.after(takeoverTime, func() {
-		for _, r := range a.routes {
-			a.lost[r.ID()] = false
-			a.shards[r.ID()] = chiveschedule.NewShard(r.ID(), 2, chiveschedule.NewPlan(a.b.config, r.Endpoints()), a.b.w.now)
+	st.sim.loop.after(takeoverTime, func() {
+		for _, r := range st.routes {
+			st.schedulerDown[r.ID()] = false
+			st.shards[r.ID()] = chiveschedule.NewShard(r.ID(), 2, chiveschedule.NewPlan(st.sim.config, r.Endpoints()), st.sim.loop.now)
 		}
-		a.restate()
+		st.reconcile()
 	})
 }
 
-func (a *shardsArm) restate() {
+func (st *shardStrategy) reconcile() {
 	holds := make(map[string]map[int][]chiveschedule.Hold)
-	for _, j := range sortedJobs(a.jobs) {
-		shard := a.placed[j]
+	for _, j := range sortedJobs(st.jobs) {
+		shard := st.shardOf[j]
 		switch {
-		case j.shed || !j.finished.IsZero():
-		case j.run != nil && !j.run.ended:
+		case j.shed || !j.finishedAt.IsZero():
+		case j.current != nil && !j.current.ended:
 			if holds[shard] == nil {
 				holds[shard] = make(map[int][]chiveschedule.Hold)
 			}
-			hold := chiveschedule.Hold{ID: j.id, Attempt: j.attempt, Endpoint: j.run.engine.name, Class: j.class.name, Team: j.team, Cost: j.prompt + j.class.expected}
-			holds[shard][j.run.gateway] = append(holds[shard][j.run.gateway], hold)
+			hold := chiveschedule.Hold{ID: j.id, Attempt: j.attempt, Endpoint: j.current.engine.name, Class: j.class.name, Team: j.team, Cost: j.promptTokens + j.class.expectedTokens}
+			holds[shard][j.current.gateway] = append(holds[shard][j.current.gateway], hold)
 		default:
-			a.submit(j, 0)
+			st.submit(j, 0)
 		}
 	}
 	for id, byGateway := range holds {
 		for gateway, list := range byGateway {
-			a.shards[id].Adopt(a.b.w.now, gatewayName(gateway), chiveschedule.SlotAdopt{Shard: id, Holds: list})
+			st.shards[id].Adopt(st.sim.loop.now, gatewayName(gateway), chiveschedule.SlotAdopt{Shard: id, Holds: list})
 		}
 	}
 }
 
 // ---------------------------------------------------------------- baselines
 
-// directArm sends every request at once to an engine that pick chooses; engines queue first in first out.
-type directArm struct {
-	b    *bench
-	pick func(j *job, gateway int) *engine
+// directStrategy sends every request immediately to the engine that chooseEngine selects; engines queue in FIFO order.
+type directStrategy struct {
+	sim          *simulation
+	chooseEngine func(j *job, gateway int) *engine
 }
 
-func (a *directArm) arrive(j *job, gateway int) {
+func (st *directStrategy) arrive(j *job, gateway int) {
 	j.attempt++
-	s := &sequence{job: j, engine: a.pick(j, gateway), gateway: gateway, granted: a.b.w.now}
-	j.run = s
-	a.b.w.after(hop, func() { s.engine.submit(s) })
-	// The caller stops waiting at the deadline; the engine notices the closed connection.
-	a.b.w.after(j.deadline().Sub(a.b.w.now), func() {
-		if j.finished.IsZero() && j.run == s {
+	s := &sequence{job: j, engine: st.chooseEngine(j, gateway), gateway: gateway, grantedAt: st.sim.loop.now}
+	j.current = s
+	st.sim.loop.after(networkDelay, func() { s.engine.submit(s) })
+	// The caller closes the connection at the deadline, which cancels the sequence on the engine.
+	st.sim.loop.after(j.deadline().Sub(st.sim.loop.now), func() {
+		if j.finishedAt.IsZero() && j.current == s {
 			s.engine.cancel(s)
 			j.shed = true
 		}
 	})
 }
 
-func (a *directArm) ended(s *sequence, broken bool) {
-	if broken {
-		a.b.w.after(tickEvery, func() { a.arrive(s.job, s.gateway) })
+func (st *directStrategy) attemptEnded(s *sequence, failed bool) {
+	if failed {
+		st.sim.loop.after(tickInterval, func() { st.arrive(s.job, s.gateway) })
 	}
 }
 
-func (a *directArm) first(*sequence) {}
-func (a *directArm) loseScheduler()  {}
+func (st *directStrategy) firstToken(*sequence) {}
+func (st *directStrategy) failSchedulers()      {}
 
-func roundRobin(b *bench) arm {
-	next := make([]int, b.gateways)
-	return &directArm{b, func(_ *job, gateway int) *engine {
+func roundRobin(sim *simulation) strategy {
+	next := make([]int, sim.gateways)
+	return &directStrategy{sim, func(_ *job, gateway int) *engine {
 		next[gateway]++
-		return b.engines[(gateway+next[gateway])%len(b.engines)]
+		return sim.engines[(gateway+next[gateway])%len(sim.engines)]
 	}}
 }
 
-// leastOfStaleReports sends to the engine with the least load in reports that lag.
-func leastOfStaleReports(b *bench) arm {
-	reported := make([]int, len(b.engines))
-	const reportEvery = time.Second
+// leastReportedLoad selects the engine with the lowest reported load; reports arrive with a delay of reportLag.
+func leastReportedLoad(sim *simulation) strategy {
+	reported := make([]int, len(sim.engines))
+	const reportInterval = time.Second
 	var report func()
 	report = func() {
-		current := make([]int, len(b.engines))
-		for i, e := range b.engines {
+		current := make([]int, len(sim.engines))
+		for i, e := range sim.engines {
 			current[i] = len(e.running) + len(e.waiting)
 		}
-		b.w.after(b.lag, func() { copy(reported, current) })
-		b.w.after(reportEvery, report)
+		sim.loop.after(sim.reportLag, func() { copy(reported, current) })
+		sim.loop.after(reportInterval, report)
 	}
 	report()
-	return &directArm{b, func(*job, int) *engine {
-		best := b.w.random.IntN(len(b.engines))
-		for i := range b.engines {
+	return &directStrategy{sim, func(*job, int) *engine {
+		best := sim.loop.rng.IntN(len(sim.engines))
+		for i := range sim.engines {
 			if reported[i] < reported[best] {
 				best = i
 			}
 		}
-		return b.engines[best]
+		return sim.engines[best]
 	}}
 }
 
-// twoChoices sends to the better of two engines by the gateway's own requests in flight.
-func twoChoices(b *bench) arm {
-	flying := make([]map[*engine]int, b.gateways)
-	for i := range flying {
-		flying[i] = make(map[*engine]int)
+// powerOfTwoChoices selects the one of two random engines that has fewer of the gateway's own requests in flight.
+func powerOfTwoChoices(sim *simulation) strategy {
+	inFlight := make([]map[*engine]int, sim.gateways)
+	for i := range inFlight {
+		inFlight[i] = make(map[*engine]int)
 	}
-	count := func(gateway int, of *engine) int {
+	ownRequests := func(gateway int, target *engine) int {
 		n := 0
-		for s := range of.running {
+		for s := range target.running {
 			if s.gateway == gateway {
 				n++
 			}
 		}
-		for _, s := range of.waiting {
+		for _, s := range target.waiting {
 			if s.gateway == gateway {
 				n++
 			}
 		}
 		return n
 	}
-	return &directArm{b, func(_ *job, gateway int) *engine {
-		one, two := b.engines[b.w.random.IntN(len(b.engines))], b.engines[b.w.random.IntN(len(b.engines))]
-		if count(gateway, two) < count(gateway, one) {
-			return two
+	return &directStrategy{sim, func(_ *job, gateway int) *engine {
+		first, second := sim.engines[sim.loop.rng.IntN(len(sim.engines))], sim.engines[sim.loop.rng.IntN(len(sim.engines))]
+		if ownRequests(gateway, second) < ownRequests(gateway, first) {
+			return second
 		}
-		return one
+		return first
 	}}
 }
 
-// eachAlone gives every gateway an equal, fixed part of each engine and its own queue with chivedrift's order.
-type eachAlone struct {
-	b    *bench
-	arms []*shardsArm
+// partitionedStrategy gives every gateway an equal, fixed part of each engine and its own queue with the slack policy.
+type partitionedStrategy struct {
+	sim       *simulation
+	byGateway []*shardStrategy
 }
 
-func newEachAlone(b *bench) arm {
-	config := *b.config
+func newPartitionedStrategy(sim *simulation) strategy {
+	config := *sim.config
 	pool := config.Pools[0]
 	pool.Endpoints = append([]chiveconfig.Endpoint(nil), pool.Endpoints...)
-	perEngine := max(pool.Endpoints[0].Sequences/int64(b.gateways), 1)
-	a := &eachAlone{b: b}
-	for g := range b.gateways {
-		own := pool
-		own.Endpoints = nil
+	perEngine := max(pool.Endpoints[0].Sequences/int64(sim.gateways), 1)
+	st := &partitionedStrategy{sim: sim}
+	for gateway := range sim.gateways {
+		ownPool := pool
+		ownPool.Endpoints = nil
 		for i, e := range pool.Endpoints {
-			// With more gateways than slots an engine is shared by some of the gateways only.
-			if int64(b.gateways) > e.Sequences && (i+g)%max(b.gateways/int(e.Sequences), 1) != 0 {
+			// With more gateways than slots per engine, each engine serves only some of the gateways.
+			if int64(sim.gateways) > e.Sequences && (i+gateway)%max(sim.gateways/int(e.Sequences), 1) != 0 {
 				continue
 			}
 			e.Sequences = perEngine
-			e.CapacityTokens /= int64(min(b.gateways, int(pool.Endpoints[i].Sequences)))
+			e.CapacityTokens /= int64(min(sim.gateways, int(pool.Endpoints[i].Sequences)))
 			e.CapacityTokens = max(e.CapacityTokens, 20000)
-			own.Endpoints = append(own.Endpoints, e)
+			ownPool.Endpoints = append(ownPool.Endpoints, e)
 		}
-		c := config
-		c.Pools = []chiveconfig.Pool{own}
-		alone := *b
-		alone.config = &c
-		a.arms = append(a.arms, newShardsArm(&alone, "slack", 1000, 0, false))
+		ownConfig := config
+		ownConfig.Pools = []chiveconfig.Pool{ownPool}
+		ownSim := *sim
+		ownSim.config = &ownConfig
+		st.byGateway = append(st.byGateway, newShardStrategy(&ownSim, "slack", 1000, 0, false))
 	}
-	return a
+	return st
 }
 
-func (a *eachAlone) arrive(j *job, gateway int)     { a.arms[gateway].arrive(j, gateway) }
-func (a *eachAlone) ended(s *sequence, broken bool) { a.arms[s.gateway].ended(s, broken) }
-func (a *eachAlone) first(s *sequence)              { a.arms[s.gateway].first(s) }
-func (a *eachAlone) loseScheduler()                 {}
+func (st *partitionedStrategy) arrive(j *job, gateway int) { st.byGateway[gateway].arrive(j, gateway) }
+
+func (st *partitionedStrategy) attemptEnded(s *sequence, failed bool) {
+	st.byGateway[s.gateway].attemptEnded(s, failed)
+}
+
+func (st *partitionedStrategy) firstToken(s *sequence) { st.byGateway[s.gateway].firstToken(s) }
+func (st *partitionedStrategy) failSchedulers()        {}
--- a/chiveschedule/backlog.go
+++ b/chiveschedule/backlog.go
@@ -4,32 +4,33 @@
 	"time"
 )
 
-// backlog sums up the waiting work by tier, apart for requests that can still meet their target and those that missed
-// it. It is kept with every change and counted anew at each tick, when requests cross from one to the other.
+// backlog sums the estimated cost of waiting requests by tier, separately for requests that can still meet their
+// first-token target and for those that are late. It is updated with every change of the queue and recounted at each
+// tick, since requests become late as time passes.
 type backlog struct {
 	onTime []int64
 	late   []int64
 	total  int64
 }
 
-func (b *backlog) count(now time.Time, tiers int, waiting map[requestKey]*waiting) {
+func (b *backlog) recount(now time.Time, tiers int, waiting map[attemptKey]*waitingRequest) {
 	*b = backlog{onTime: make([]int64, tiers+1), late: make([]int64, tiers+1)}
 	for _, w := range waiting {
 		w.late = w.due.Before(now)
-		b.change(w, w.cost)
+		b.adjust(w, w.cost)
 	}
 }
 
-func (b *backlog) add(now time.Time, w *waiting) {
+func (b *backlog) add(now time.Time, w *waitingRequest) {
 	w.late = w.due.Before(now)
-	b.change(w, w.cost)
+	b.adjust(w, w.cost)
 }
 
-func (b *backlog) remove(w *waiting) {
-	b.change(w, -w.cost)
+func (b *backlog) remove(w *waitingRequest) {
+	b.adjust(w, -w.cost)
 }
 
-func (b *backlog) change(w *waiting, cost int64) {
+func (b *backlog) adjust(w *waitingRequest, cost int64) {
 	sums := &b.onTime
 	if w.late {
 		sums = &b.late
@@ -41,9 +42,9 @@
 	b.total += cost
 }
 
-// ahead returns the work that goes before a request of a tier: all of more urgent tiers, and of its own tier what is on
-// time, or everything when the request itself is late.
-func (b *backlog) ahead(tier int, late bool) int64 {
+// workAhead returns the work served before a request of a tier: that of all more urgent tiers, and the on-time work of
+// its own tier. A late request also waits for the late work of its own tier.
+func (b *backlog) workAhead(tier int, late bool) int64 {
 	work := int64(0)
 	for i := range b.onTime {
 		if i <= tier {
--- a/chiveschedule/plan.go
+++ b/chiveschedule/plan.go
@@ -6,7 +6,7 @@
 	"chivedrift/chiveconfig"
 )
 
-// Plan is what a shard needs of the configuration.
+// Plan is the part of the configuration that a shard needs.
 type Plan struct {
 	policy    string
 	tiers     int
@@ -15,18 +15,18 @@
 	endpoints []EndpointPlan
 }
 
-// ClassPlan is a class as the scheduler sees it.
+// ClassPlan is the scheduling configuration of a service class.
 type ClassPlan struct {
-	name       string
-	tier       int
-	firstToken time.Duration
-	deadline   time.Duration
-	protected  bool
-	minShare   float64
-	expected   int64
+	name             string
+	tier             int
+	firstTokenTarget time.Duration
+	deadline         time.Duration
+	protected        bool
+	minShare         float64
+	expectedTokens   int64
 }
 
-// EndpointPlan is an endpoint as the scheduler sees it, its capacity in sequences and tokens in flight.
+// EndpointPlan describes an endpoint and its capacity in concurrent sequences and in tokens in flight.
 type EndpointPlan struct {
 	Name          string
 	FailureDomain string
@@ -36,11 +36,11 @@
 
 const (
 	defaultSequences = 16
-	leastShare       = 0.01
+	minClassShare    = 0.01
 	percent          = 100
 )
 
-// NewPlan derives the plan of a shard from the configuration in force and the endpoints in the shard.
+// NewPlan derives the plan of a shard from the configuration and the shard's endpoints.
 func NewPlan(config *chiveconfig.Config, endpoints []chiveconfig.Endpoint) *Plan {
 	p := &Plan{
 		policy: config.Routing.Policy, tiers: len(config.Tiers),
@@ -49,8 +49,8 @@
 	for i := range config.Classes {
 		c := &config.Classes[i]
 		p.classes[c.Name] = &ClassPlan{
-			name: c.Name, tier: config.TierRank(c.Tier), firstToken: c.FirstToken(), deadline: c.Deadline(),
-			protected: c.Protected, expected: c.ExpectedTokens, minShare: max(float64(c.MinSharePercent)/percent, leastShare),
+			name: c.Name, tier: config.TierRank(c.Tier), firstTokenTarget: c.FirstToken(), deadline: c.Deadline(),
+			protected: c.Protected, expectedTokens: c.ExpectedTokens, minShare: max(float64(c.MinSharePercent)/percent, minClassShare),
 		}
 	}
 	for i := range config.Teams {
@@ -67,7 +67,7 @@
 	return p
 }
 
-// WithPolicy returns a copy of the plan under another queue policy.
+// WithPolicy returns a copy of the plan with another queue policy.
 func (p *Plan) WithPolicy(name string) *Plan {
 	copied := *p
 	copied.policy = name
@@ -78,8 +78,8 @@
 	if c, ok := p.classes[name]; ok {
 		return c
 	}
-	// A gateway one configuration ahead may name a class that this node does not know yet; it waits behind all known ones.
-	return &ClassPlan{name: name, tier: max(p.tiers-1, 0), firstToken: time.Minute, deadline: time.Minute, expected: unknownClassTokens, minShare: leastShare}
+	// A gateway with a newer configuration may name a class that is not known here yet; it gets the least urgent tier.
+	return &ClassPlan{name: name, tier: max(p.tiers-1, 0), firstTokenTarget: time.Minute, deadline: time.Minute, expectedTokens: unknownClassTokens, minShare: minClassShare}
 }
 
 const unknownClassTokens = 256
--- a/chiveschedule/queue_tiers.go
+++ b/chiveschedule/queue_tiers.go
@@ -4,7 +4,8 @@
 	"time"
 )
 
-// tierQueue serves strictly by tier and in order of arrival within one; low tiers can starve, which is why it is only a baseline.
+// tierQueue serves strictly by tier and in order of insertion within a tier. Low tiers can starve, so it is only a
+// baseline for comparison.
 type tierQueue[T Item] struct {
 	tiers []*fifoQueue[T]
 	count int
@@ -19,7 +20,7 @@
 }
 
 func (q *tierQueue[T]) Push(now time.Time, item T) {
-	q.of(item).Push(now, item)
+	q.tierOf(item).Push(now, item)
 	q.count++
 }
 
@@ -29,12 +30,12 @@
 			return item, true
 		}
 	}
-	var none T
-	return none, false
+	var zero T
+	return zero, false
 }
 
 func (q *tierQueue[T]) Remove(now time.Time, item T, granted bool) {
-	tier := q.of(item)
+	tier := q.tierOf(item)
 	before := tier.Len()
 	tier.Remove(now, item, granted)
 	q.count -= before - tier.Len()
@@ -42,7 +43,7 @@
 
 func (q *tierQueue[T]) Len() int { return q.count }
 
-func (q *tierQueue[T]) of(item T) *fifoQueue[T] {
+func (q *tierQueue[T]) tierOf(item T) *fifoQueue[T] {
 	tier, _, _ := item.Place()
 	return q.tiers[min(max(tier, 0), len(q.tiers)-1)]
 }
--- a/chiveschedule/shard_state.go
+++ b/chiveschedule/shard_state.go
@@ -4,22 +4,22 @@
 	"time"
 )
 
-// Waiting returns how many requests wait.
+// Waiting returns the number of waiting requests.
 func (s *Shard) Waiting() int { return len(s.waiting) }
 
-// Running returns how many slots are in use.
+// Running returns the number of slots in use.
 func (s *Shard) Running() int { return len(s.granted) }
 
-// Counts returns the sums of the shard's decisions.
+// Counts returns the totals of the shard's decisions.
 func (s *Shard) Counts() Counts { return s.counts }
 
-// WaitOf estimates how long a new request of a class would wait, from the work ahead of it and the measured drain rate.
+// WaitOf estimates how long a new request of a class would wait, from the work ahead of it and the measured throughput.
 func (s *Shard) WaitOf(class string) time.Duration {
-	c := s.plan.class(class)
-	return s.waitBehind(c.tier)
+	c := s.config.class(class)
+	return s.queueWait(c.tier)
 }
 
-// EndpointState is the dump of one endpoint's ledger.
+// EndpointState is the state of one endpoint in the state dump.
 type EndpointState struct {
 	Name      string  `json:"name"`
 	Sequences int64   `json:"sequences"`
@@ -36,34 +36,34 @@
 	states := make([]EndpointState, 0, len(s.endpoints))
 	for _, e := range s.endpoints {
 		states = append(states, EndpointState{
-			Name: e.plan.Name, Sequences: e.sequences, Tokens: e.tokens, Load: e.load(), PaceMs: e.pace,
-			Failures: e.failures, Up: e.up(now, true), Straggler: e.straggles(s.median),
+			Name: e.config.Name, Sequences: e.sequencesInUse, Tokens: e.tokensInUse, Load: e.load(), PaceMs: e.timePerTokenMs,
+			Failures: e.consecutiveFailures, Up: e.available(now, true), Straggler: e.isStraggler(s.medianTimePerTokenMs),
 		})
 	}
 	return states
 }
 
-// LoadPercent sums up running and waiting work against the capacity, so that gateways can compare shards.
+// LoadPercent returns the running and waiting work in percent of the capacity; gateways use it to compare shards.
 func (s *Shard) LoadPercent() int {
 	work, capacity := int64(0), int64(0)
 	for _, e := range s.endpoints {
-		work += e.tokens
-		capacity += e.plan.Tokens
+		work += e.tokensInUse
+		capacity += e.config.Tokens
 	}
 	work += s.backlog.total
 	if capacity == 0 {
-		return percentOf
+		return percentFactor
 	}
-	return int(work * percentOf / capacity)
+	return int(work * percentFactor / capacity)
 }
 
-// Close refuses everything that waits, because the configuration no longer has the shard.
+// Close refuses all waiting requests, because the shard was removed from the configuration.
 func (s *Shard) Close() []Decision {
 	var out []Decision
 	for _, w := range s.sortedWaiting() {
-		out = append(out, s.refuse(w, ReasonNoneUp, retryAfterLeast))
+		out = append(out, s.refuse(w, ReasonNoneUp, minRetryAfter))
 	}
-	s.waiting = make(map[requestKey]*waiting)
+	s.waiting = make(map[attemptKey]*waitingRequest)
 	s.backlog = backlog{}
 	return out
 }
--- a/chiveschedule/world_test.go
+++ b/chiveschedule/world_test.go
@@ -8,124 +8,127 @@
 	"time"
 )
 
-// The benches drive the real decisions on virtual time. A world is a clock with a heap of things to come; fake engines
-// say how long a sequence takes, and that is all they do.
+// The scenarios run the real scheduling code on virtual time. The event loop keeps the clock and a heap of scheduled
+// events; simulated engines determine how long each sequence takes.
 
-type world struct {
-	now    time.Time
-	queue  futures
-	number int
-	random *rand.Rand
+// eventLoop runs scheduled events in the order of their time, those of the same time in the order of scheduling.
+type eventLoop struct {
+	now       time.Time
+	events    eventHeap
+	scheduled int
+	rng       *rand.Rand
 }
 
-type future struct {
-	at     time.Time
-	number int
-	act    func()
+type event struct {
+	at    time.Time
+	order int
+	run   func()
 }
 
-type futures []future
+type eventHeap []event
 
-func (f futures) Len() int { return len(f) }
-func (f futures) Less(i, j int) bool {
-	if !f[i].at.Equal(f[j].at) {
-		return f[i].at.Before(f[j].at)
+func (h eventHeap) Len() int { return len(h) }
+func (h eventHeap) Less(i, j int) bool {
+	if !h[i].at.Equal(h[j].at) {
+		return h[i].at.Before(h[j].at)
 	}
-	return f[i].number < f[j].number
+	return h[i].order < h[j].order
 }
-func (f futures) Swap(i, j int) { f[i], f[j] = f[j], f[i] }
-func (f *futures) Push(x any)   { *f = append(*f, x.(future)) }
-func (f *futures) Pop() any {
-	old := *f
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *eventHeap) Push(x any)   { *h = append(*h, x.(event)) }
+func (h *eventHeap) Pop() any {
+	old := *h
 	last := old[len(old)-1]
-	*f = old[:len(old)-1]
+	*h = old[:len(old)-1]
 	return last
 }
 
-var dawn = time.Unix(1_700_000_000, 0)
+var simulationStart = time.Unix(1_700_000_000, 0)
 
-func newWorld(seed uint64) *world {
-	return &world{now: dawn, random: rand.New(rand.NewPCG(seed, seed))}
+func newEventLoop(seed uint64) *eventLoop {
+	return &eventLoop{now: simulationStart, rng: rand.New(rand.NewPCG(seed, seed))}
 }
 
-func (w *world) after(d time.Duration, act func()) {
-	w.number++
-	heap.Push(&w.queue, future{w.now.Add(d), w.number, act})
+func (loop *eventLoop) after(d time.Duration, run func()) {
+	loop.scheduled++
+	heap.Push(&loop.events, event{loop.now.Add(d), loop.scheduled, run})
 }
 
-func (w *world) run(until time.Duration) {
-	end := dawn.Add(until)
-	for len(w.queue) > 0 && !w.queue[0].at.After(end) {
-		next := heap.Pop(&w.queue).(future)
-		w.now = next.at
-		next.act()
+func (loop *eventLoop) run(until time.Duration) {
+	end := simulationStart.Add(until)
+	for len(loop.events) > 0 && !loop.events[0].at.After(end) {
+		next := heap.Pop(&loop.events).(event)
+		loop.now = next.at
+		next.run()
 	}
-	w.now = end
+	loop.now = end
 }
 
-// job is one request with what became of it.
+// job is one request with its progress and outcome.
 type job struct {
-	id       string
-	class    *classMix
-	team     string
-	prefix   uint64
-	prompt   int64
-	length   int64
-	arrival  time.Time
-	attempt  int
-	done     int64
-	first    time.Time
-	finished time.Time
-	shed     bool
-	exclude  []string
-	run      *sequence
+	id           string
+	class        *trafficClass
+	team         string
+	prefix       uint64
+	promptTokens int64
+	outputTokens int64
+	arrival      time.Time
+	attempt      int
+	doneTokens   int64
+	firstTokenAt time.Time
+	finishedAt   time.Time
+	shed         bool
+	exclude      []string
+	current      *sequence
 }
 
 func (j *job) deadline() time.Time { return j.arrival.Add(j.class.deadline) }
 
-func (j *job) met() bool {
-	return !j.finished.IsZero() && !j.finished.After(j.deadline()) && !j.first.After(j.arrival.Add(j.class.target))
+func (j *job) metTargets() bool {
+	return !j.finishedAt.IsZero() && !j.finishedAt.After(j.deadline()) && !j.firstTokenAt.After(j.arrival.Add(j.class.firstTokenTarget))
 }
 
-// engine is a fake: sequences advance at a constant pace each, up to a number at a time; the rest queues inside.
+// engine simulates a model engine: up to slots sequences run at a constant speed each, the others wait in its queue.
 type engine struct {
-	w        *world
-	name     string
-	domain   string
-	slots    int
-	slow     float64
-	down     bool
-	running  map[*sequence]bool
-	waiting  []*sequence
-	prefixes []uint64
-	wasted   *int64
-	onFirst  func(*sequence)
-	onEnd    func(s *sequence, broken bool)
+	loop           *eventLoop
+	name           string
+	failureDomain  string
+	slots          int
+	slowdown       float64
+	down           bool
+	running        map[*sequence]bool
+	waiting        []*sequence
+	cachedPrefixes []uint64
+	wastedTokens   *int64
+	onFirstToken   func(*sequence)
+	onEnd          func(s *sequence, failed bool)
 }
 
 // sequence is one attempt on an engine.
 type sequence struct {
-	job     *job
-	engine  *engine
-	began   time.Time
-	prefill time.Duration
-	from    int64
-	ended   bool
-	gateway int
-	granted time.Time
+	job        *job
+	engine     *engine
+	startedAt  time.Time
+	prefill    time.Duration
+	doneBefore int64
+	ended      bool
+	gateway    int
+	grantedAt  time.Time
 }
 
 const (
-	pace           = 25 * time.Millisecond
-	prefillToken   = 100 * time.Microsecond
-	cachedPrefixes = 48
+	timePerToken    = 25 * time.Millisecond
+	prefillPerToken = 100 * time.Microsecond
+	prefixCacheSize = 48
 )
 
-func (e *engine) pace() time.Duration { return time.Duration(float64(pace) * e.slow) }
+func (e *engine) timePerToken() time.Duration {
+	return time.Duration(float64(timePerToken) * e.slowdown)
+}
 
 func (e *engine) submit(s *sequence) {
 	if e.down {
-		e.w.after(time.Millisecond, func() { e.onEnd(s, true) })
+		e.loop.after(time.Millisecond, func() { e.onEnd(s, true) })
 		return
 	}
 	if len(e.running) >= e.slots {
@@ -137,65 +140,66 @@
 
 func (e *engine) start(s *sequence) {
 	e.running[s] = true
-	s.began, s.from = e.w.now, s.job.done
-	fresh := s.job.prompt + s.job.done
-	if e.knows(s.job.prefix) {
-		fresh /= 10
-	} else if s.from > 0 {
-		*e.wasted += fresh / 10 // prefill costs about a tenth of decoding, and this prompt had been read before
+	s.startedAt, s.doneBefore = e.loop.now, s.job.doneTokens
+	prefillTokens := s.job.promptTokens + s.job.doneTokens
+	if e.cachePrefix(s.job.prefix) {
+		prefillTokens /= 10
+	} else if s.doneBefore > 0 {
+		*e.wastedTokens += prefillTokens / 10 // a repeated prefill, which costs about a tenth of decoding per token
 	}
-	s.prefill = time.Duration(float64(fresh) * float64(prefillToken) * e.slow)
-	e.w.after(s.prefill+e.pace(), func() {
+	s.prefill = time.Duration(float64(prefillTokens) * float64(prefillPerToken) * e.slowdown)
+	e.loop.after(s.prefill+e.timePerToken(), func() {
 		if !s.ended {
-			e.onFirst(s)
+			e.onFirstToken(s)
 		}
 	})
-	left := time.Duration(s.job.length - s.from)
-	e.w.after(s.prefill+left*e.pace(), func() { e.end(s, false) })
+	remaining := time.Duration(s.job.outputTokens - s.doneBefore)
+	e.loop.after(s.prefill+remaining*e.timePerToken(), func() { e.end(s, false) })
 }
 
-func (e *engine) knows(prefix uint64) bool {
-	for _, known := range e.prefixes {
-		if known == prefix {
+// cachePrefix reports whether the prefix is cached, and adds it otherwise; the cache drops the oldest entry when full.
+func (e *engine) cachePrefix(prefix uint64) bool {
+	for _, cached := range e.cachedPrefixes {
+		if cached == prefix {
 			return true
 		}
 	}
-	e.prefixes = append(e.prefixes, prefix)
-	if len(e.prefixes) > cachedPrefixes {
-		e.prefixes = e.prefixes[1:]
+	e.cachedPrefixes = append(e.cachedPrefixes, prefix)
+	if len(e.cachedPrefixes) > prefixCacheSize {
+		e.cachedPrefixes = e.cachedPrefixes[1:]
 	}
 	return false
 }
 
-func (s *sequence) produced(now time.Time) int64 {
-	if s.began.IsZero() {
+func (s *sequence) producedTokens(now time.Time) int64 {
+	if s.startedAt.IsZero() {
 		return 0
 	}
-	tokens := int64(now.Sub(s.began.Add(s.prefill)) / s.engine.pace())
-	return min(max(tokens, 0), s.job.length-s.from)
+	tokens := int64(now.Sub(s.startedAt.Add(s.prefill)) / s.engine.timePerToken())
+	return min(max(tokens, 0), s.job.outputTokens-s.doneBefore)
 }
 
-func (e *engine) end(s *sequence, broken bool) {
+func (e *engine) end(s *sequence, failed bool) {
 	if s.ended {
 		return
 	}
 	s.ended = true
 	delete(e.running, s)
-	s.job.done = s.from + s.produced(e.w.now)
-	if !broken {
-		s.job.done = s.job.length
+	s.job.doneTokens = s.doneBefore + s.producedTokens(e.loop.now)
+	if !failed {
+		s.job.doneTokens = s.job.outputTokens
 	}
-	e.onEnd(s, broken)
-	e.next()
+	e.onEnd(s, failed)
+	e.startWaiting()
 }
 
-// cancel ends a sequence without telling its owner, who keeps what was produced.
+// cancel ends a sequence without calling onEnd; the job keeps the tokens produced.
 func (e *engine) cancel(s *sequence) {
 	if s.ended {
 		return
 	}
 	s.ended = true
-	s.job.done += s.produced(e.w.now)
+	s.job.doneTokens += s.producedTokens(e.loop.now)
 	delete(e.running, s)
 	for i, waiting := range e.waiting {
 		if waiting == s {
@@ -203,10 +207,10 @@
 			break
 		}
 	}
-	e.next()
+	e.startWaiting()
 }
 
-func (e *engine) next() {
+func (e *engine) startWaiting() {
 	for len(e.waiting) > 0 && len(e.running) < e.slots && !e.down {
 		s := e.waiting[0]
 		e.waiting = e.waiting[1:]
@@ -224,56 +228,59 @@
 	}
 	sort.Slice(running, func(i, j int) bool { return running[i].job.id < running[j].job.id })
 	for _, s := range running {
-		e.w.after(0, func() { e.end(s, true) })
+		e.loop.after(0, func() { e.end(s, true) })
 	}
 	for _, s := range e.waiting {
-		e.w.after(0, func() { e.onEnd(s, true) })
+		e.loop.after(0, func() { e.onEnd(s, true) })
 	}
 	e.waiting = nil
 }
 
 // ---------------------------------------------------------------- workload
 
-type classMix struct {
-	name      string
-	tier      int
-	target    time.Duration
-	deadline  time.Duration
-	protected bool
-	minShare  int64
-	expected  int64
-	prompt    int64
-	tokens    float64
-	share     float64
+type trafficClass struct {
+	name             string
+	tier             int
+	firstTokenTarget time.Duration
+	deadline         time.Duration
+	protected        bool
+	minShare         int64
+	expectedTokens   int64
+	promptTokens     int64
+	meanTokens       float64
+	tokenShare       float64
 }
 
-// mix is one deployment's traffic by class; shares are of the tokens.
-type mix struct {
+// workload is the traffic of one deployment by class; tokenShare is a class's share of the tokens.
+type workload struct {
 	name    string
-	classes []*classMix
+	classes []*trafficClass
 }
 
-func sopotnik() mix {
-	return mix{"sopotnik", []*classMix{
-		{name: "nudge", tier: 0, target: 800 * time.Millisecond, deadline: 10 * time.Second, minShare: 5, expected: 60, prompt: 400, tokens: 60, share: 0.20},
-		{name: "dossier", tier: 1, target: 5 * time.Second, deadline: 5 * time.Minute, protected: true, minShare: 20, expected: 900, prompt: 2000, tokens: 900, share: 0.40},
-		{name: "summary", tier: 2, target: 8 * time.Second, deadline: 2 * time.Minute, minShare: 5, expected: 300, prompt: 800, tokens: 300, share: 0.30},
-		{name: "digest", tier: 3, target: time.Minute, deadline: 10 * time.Minute, minShare: 2, expected: 400, prompt: 800, tokens: 400, share: 0.10},
+// sopotnikWorkload consists mainly of protected requests of medium length and shorter requests in other tiers.
+func sopotnikWorkload() workload {
+	return workload{"sopotnik", []*trafficClass{
+		{name: "nudge", tier: 0, firstTokenTarget: 800 * time.Millisecond, deadline: 10 * time.Second, minShare: 5, expectedTokens: 60, promptTokens: 400, meanTokens: 60, tokenShare: 0.20},
+		{name: "dossier", tier: 1, firstTokenTarget: 5 * time.Second, deadline: 5 * time.Minute, protected: true, minShare: 20, expectedTokens: 900, promptTokens: 2000, meanTokens: 900, tokenShare: 0.40},
+		{name: "summary", tier: 2, firstTokenTarget: 8 * time.Second, deadline: 2 * time.Minute, minShare: 5, expectedTokens: 300, promptTokens: 800, meanTokens: 300, tokenShare: 0.30},
+		{name: "digest", tier: 3, firstTokenTarget: time.Minute, deadline: 10 * time.Minute, minShare: 2, expectedTokens: 400, promptTokens: 800, meanTokens: 400, tokenShare: 0.10},
 	}}
 }
 
-func hakata() mix {
-	return mix{"hakata", []*classMix{
-		{name: "fix", tier: 0, target: 700 * time.Millisecond, deadline: 10 * time.Second, minShare: 5, expected: 50, prompt: 600, tokens: 50, share: 0.15},
-		{name: "reflow", tier: 1, target: 10 * time.Second, deadline: 15 * time.Minute, protected: true, minShare: 25, expected: 2500, prompt: 6000, tokens: 2500, share: 0.50},
-		{name: "caption", tier: 2, target: 3 * time.Second, deadline: time.Minute, minShare: 5, expected: 120, prompt: 500, tokens: 120, share: 0.20},
-		{name: "background-reflow", tier: 3, target: time.Minute, deadline: time.Hour, protected: true, minShare: 5, expected: 2500, prompt: 6000, tokens: 2500, share: 0.15},
+// hakataWorkload consists mainly of long protected requests, besides short ones in other tiers.
+func hakataWorkload() workload {
+	return workload{"hakata", []*trafficClass{
+		{name: "fix", tier: 0, firstTokenTarget: 700 * time.Millisecond, deadline: 10 * time.Second, minShare: 5, expectedTokens: 50, promptTokens: 600, meanTokens: 50, tokenShare: 0.15},
+		{name: "reflow", tier: 1, firstTokenTarget: 10 * time.Second, deadline: 15 * time.Minute, protected: true, minShare: 25, expectedTokens: 2500, promptTokens: 6000, meanTokens: 2500, tokenShare: 0.50},
+		{name: "caption", tier: 2, firstTokenTarget: 3 * time.Second, deadline: time.Minute, minShare: 5, expectedTokens: 120, promptTokens: 500, meanTokens: 120, tokenShare: 0.20},
+		{name: "background-reflow", tier: 3, firstTokenTarget: time.Minute, deadline: time.Hour, protected: true, minShare: 5, expectedTokens: 2500, promptTokens: 6000, meanTokens: 2500, tokenShare: 0.15},
 	}}
 }
 
-// lengthOf draws a heavy-tailed output length around a mean (lognormal, sigma 0.8).
-func (w *world) lengthOf(mean float64) int64 {
+// drawOutputTokens draws a heavy-tailed output length with the given mean (lognormal, sigma 0.8), at most four times
+// the mean.
+func (loop *eventLoop) drawOutputTokens(mean float64) int64 {
 	const sigma = 0.8
-	length := math.Exp(math.Log(mean) - sigma*sigma/2 + sigma*w.random.NormFloat64())
-	return int64(min(max(length, 1), 4*mean))
+	tokens := math.Exp(math.Log(mean) - sigma*sigma/2 + sigma*loop.rng.NormFloat64())
+	return int64(min(max(tokens, 1), 4*mean))
 }
