--- a/chivegrant/ask.go
+++ b/chivegrant/ask.go
@@ -16,184 +16,186 @@
 	"chivedrift/chivewire"
 )
 
-// Place gets a place for a prompt. The error is ErrAlone when the node has to decide alone, a *chiveplace.RefusedError when
-// the engines have no room.
+// Place gets a place for a request from the owner of its primary or secondary group. The error is ErrAlone when the
+// node has to place the request locally, and a *chiveplace.RefusedError when the engines have no room.
 //
-// The ask names the endpoints that were tried and the failure domains that the request is limited to.
+// limits names the endpoints that were already tried and the failure domains that the request is limited to.
 func (s *Service) Place(ctx context.Context, pool *chiveplace.Pool, request *chiverequest.Request, limits chiveplace.Ask) (*chiveplace.Place, error) {
-	g := s.divided.Load()
-	if !g.asking {
+	a := s.assignment.Load()
+	if !a.usesOwners {
 		return nil, ErrAlone
 	}
-	w := &wish{
-		service: s, groups: g, pool: pool, request: request, exclude: append(pool.PassedOver(time.Now()), limits.Exclude...), domains: limits.Domains,
+	p := &placement{
+		service: s, assignment: a, pool: pool, request: request, exclude: append(pool.PassedOver(time.Now()), limits.Exclude...), domains: limits.Domains,
 	}
-	first, second := g.homes(request.Pool, chiveplace.SharedPart(request.Prompt), limits.Domains)
-	if w.isOut(first) {
-		first, second = second, noGroup
+	primary, secondary := a.homeGroups(request.Pool, chiveplace.SharedPart(request.Prompt), limits.Domains)
+	if p.allExcluded(primary) {
+		primary, secondary = secondary, noGroup
 	}
-	if w.isOut(first) {
+	if p.allExcluded(primary) {
 		return nil, ErrAlone
 	}
-	if w.isOut(second) {
-		return w.from(ctx, first, 0, 0)
+	if p.allExcluded(secondary) {
+		return p.placeIn(ctx, primary, 0, 0)
 	}
-	place, err := w.from(ctx, first, spillLoss, request.Prompt.Input)
+	place, err := p.placeIn(ctx, primary, spillLossMargin, request.Prompt.Input)
 	var refused *chiveplace.RefusedError
 	if !errors.As(err, &refused) {
 		return place, err
 	}
-	place, elsewhere := w.from(ctx, second, refused.Loss, 0)
-	if elsewhere == nil {
+	place, secondaryErr := p.placeIn(ctx, secondary, refused.Loss, 0)
+	if secondaryErr == nil {
 		place.FetchInstead(refused.Holder, refused.Held)
 	}
-	if elsewhere == nil || refused.Loss == 0 {
-		return place, elsewhere
+	if secondaryErr == nil || refused.Loss == 0 {
+		return place, secondaryErr
 	}
-	return w.from(ctx, first, 0, 0)
+	return p.placeIn(ctx, primary, 0, 0)
 }
 
-// Home returns the ids of the engines in the group of a request's shared part, so that a node that decides alone chooses among the same engines as
-// the owner of the group would.
+// Home returns the ids of the engines in the primary group of a request. A node that places the request locally then
+// prefers the engines that the group's owner would choose from.
 func (s *Service) Home(request *chiverequest.Request, limits chiveplace.Ask) []string {
-	g := s.divided.Load()
-	if !g.asking {
+	a := s.assignment.Load()
+	if !a.usesOwners {
 		return nil
 	}
-	first, _ := g.homes(request.Pool, chiveplace.SharedPart(request.Prompt), limits.Domains)
-	return g.engines(first)
+	primary, _ := a.homeGroups(request.Pool, chiveplace.SharedPart(request.Prompt), limits.Domains)
+	return a.engines(primary)
 }
 
-// wish is one request on its way to a place.
-type wish struct {
-	service *Service
-	groups  *groups
-	pool    *chiveplace.Pool
-	request *chiverequest.Request
-	exclude []string
-	domains chiveresidency.Domains
+// placement holds the state of one call of Place.
+type placement struct {
+	service    *Service
+	assignment *assignment
+	pool       *chiveplace.Pool
+	request    *chiverequest.Request
+	exclude    []string
+	domains    chiveresidency.Domains
 }
 
-// isOut reports whether this node would send to no engine of a group. A node that was cut off from the engines for a moment passes
-// over all of them; were it to ask, all would be excluded and the request refused, while alone it tries one of them.
-func (w *wish) isOut(of group) bool {
-	for _, id := range w.groups.engines(of) {
-		if !slices.ContainsFunc(w.exclude, func(incarnation string) bool { return chivedirectory.IDOf(incarnation) == id }) {
+// allExcluded reports whether this node excludes every engine of a group. After a short network partition a node
+// excludes all engines. Asking the owner would then get the request refused, whereas local placement still tries one of
+// the engines.
+func (p *placement) allExcluded(group groupID) bool {
+	for _, id := range p.assignment.engines(group) {
+		if !slices.ContainsFunc(p.exclude, func(incarnation string) bool { return chivedirectory.IDOf(incarnation) == id }) {
 			return false
 		}
 	}
 	return true
 }
 
-// from asks the owner of a group, which may be this node.
-func (w *wish) from(ctx context.Context, of group, most float64, mostReads int64) (*chiveplace.Place, error) {
-	s := w.service
-	owner := w.groups.owners[of]
-	if owner == s.o.Mesh.Self() {
-		return w.pool.Take(time.Now(), chiveplace.Ask{
-			Prompt: w.request.Prompt, Exclude: w.exclude, Among: w.groups.engines(of), Domains: w.domains, Most: most, MostReads: mostReads,
+// placeIn places the request in a group through its owner, which may be this node.
+func (p *placement) placeIn(ctx context.Context, group groupID, maxLoss float64, maxReads int64) (*chiveplace.Place, error) {
+	s := p.service
+	owner := p.assignment.owners[group]
+	if owner == s.options.Mesh.Self() {
+		return p.pool.Take(time.Now(), chiveplace.Ask{
+			Prompt: p.request.Prompt, Exclude: p.exclude, Among: p.assignment.engines(group), Domains: p.domains, Most: maxLoss, MostReads: maxReads,
 		})
 	}
-	ask := newPlaceAsk(w.request.Pool, of.String(), w.request.Prompt)
-	ask.Exclude, ask.Domains, ask.Most, ask.MostReads = w.exclude, w.domains.Names(), most, mostReads
-	answer, err := s.ask(ctx, owner, ask)
+	request := newPlacementRequest(p.request.Pool, group.String(), p.request.Prompt)
+	request.Exclude, request.Domains, request.Most, request.MostReads = p.exclude, p.domains.Names(), maxLoss, maxReads
+	response, err := s.requestPlacement(ctx, owner, request)
 	if err != nil {
 		return nil, err
 	}
-	if answer.Unknown {
+	if response.Unknown {
 		return nil, ErrAlone
 	}
-	if answer.Refused != "" {
+	if response.Refused != "" {
 		s.refused.Add(1)
 		return nil, &chiveplace.RefusedError{
-			Reason: answer.Refused, RetryAfter: answer.RetryAfter, Loss: answer.Loss,
-			Holder: answer.Grant.FetchFrom, Held: answer.Grant.Fetches,
+			Reason: response.Refused, RetryAfter: response.RetryAfter, Loss: response.Loss,
+			Holder: response.Grant.FetchFrom, Held: response.Grant.Fetches,
 		}
 	}
 	s.granted.Add(1)
-	answer.Grant.Owner = owner
-	place, ok := w.pool.Adopt(time.Now(), answer.Grant, chiveplace.Ask{Prompt: w.request.Prompt, Domains: w.domains})
-	s.note(owner, answer.Given)
+	response.Grant.Owner = owner
+	place, ok := p.pool.Adopt(time.Now(), response.Grant, chiveplace.Ask{Prompt: p.request.Prompt, Domains: p.domains})
+	s.recordAdopted(owner, response.Given)
 	if !ok {
 		return nil, ErrAlone
 	}
 	return place, nil
 }
 
-// note remembers a grant, so that the next load report to its owner tells that it is counted there.
-func (s *Service) note(owner string, given uint64) {
+// recordAdopted records the newest grant adopted from an owner. The next load report to that owner carries its number,
+// so that the owner knows that the report includes the request.
+func (s *Service) recordAdopted(owner string, grant uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.seen[owner] = given
+	s.adopted[owner] = grant
 }
 
-// ask sends a question and waits a short while for its answer.
-func (s *Service) ask(ctx context.Context, owner string, ask PlaceAsk) (PlaceAnswer, error) {
-	ask.Number = s.numbers.Add(1)
-	answered := make(chan PlaceAnswer, 1)
+// requestPlacement sends a placement request to an owner and waits up to requestTimeout for the response.
+func (s *Service) requestPlacement(ctx context.Context, owner string, request PlaceAsk) (PlaceAnswer, error) {
+	request.Number = s.lastRequest.Add(1)
+	responses := make(chan PlaceAnswer, 1)
 	s.mu.Lock()
-	silent := owner == "" || time.Now().Before(s.silent[owner])
-	if !silent {
-		s.waiting[ask.Number] = answered
+	unavailable := owner == "" || time.Now().Before(s.backoffUntil[owner])
+	if !unavailable {
+		s.pending[request.Number] = responses
 	}
 	s.mu.Unlock()
-	if silent {
+	if unavailable {
 		return PlaceAnswer{}, ErrAlone
 	}
-	defer s.forget(ask.Number)
+	defer s.removePending(request.Number)
 	s.asked.Add(1)
-	if err := s.o.Mesh.Send(owner, chivewire.KindPlaceAsk, ask); err != nil {
+	if err := s.options.Mesh.Send(owner, chivewire.KindPlaceAsk, request); err != nil {
 		return PlaceAnswer{}, fmt.Errorf("%w: %w", ErrAlone, err)
 	}
-	timer := time.NewTimer(askWithin)
+	timer := time.NewTimer(requestTimeout)
 	defer timer.Stop()
 	select {
-	case answer := <-answered:
-		s.noteAnswer(ctx, owner)
-		return answer, nil
+	case response := <-responses:
+		s.recordResponse(ctx, owner)
+		return response, nil
 	case <-ctx.Done():
 	case <-timer.C:
-		s.noteSilence(ctx, owner, ask.Group)
+		s.recordTimeout(ctx, owner, request.Group)
 	}
 	return PlaceAnswer{}, ErrAlone
 }
 
-// noteSilence keeps the node from asking an owner for a while; one line tells of a silence, however long it lasts.
-func (s *Service) noteSilence(ctx context.Context, owner, group string) {
-	s.unheard.Add(1)
+// recordTimeout starts the backoff for an owner that did not respond. Only the first of consecutive timeouts is logged.
+func (s *Service) recordTimeout(ctx context.Context, owner, group string) {
+	s.timedOut.Add(1)
 	s.mu.Lock()
-	_, known := s.silent[owner]
-	s.silent[owner] = time.Now().Add(silentFor)
+	_, backedOff := s.backoffUntil[owner]
+	s.backoffUntil[owner] = time.Now().Add(ownerBackoff)
 	s.mu.Unlock()
-	if !known {
-		chiveevent.OwnerSilent.Log(ctx, s.o.Logger, slog.String("owner", owner), slog.String("group", group),
-			slog.Int64("waited_ms", askWithin.Milliseconds()))
+	if !backedOff {
+		chiveevent.OwnerSilent.Log(ctx, s.options.Logger, slog.String("owner", owner), slog.String("group", group),
+			slog.Int64("waited_ms", requestTimeout.Milliseconds()))
 	}
 }
 
-func (s *Service) noteAnswer(ctx context.Context, owner string) {
+func (s *Service) recordResponse(ctx context.Context, owner string) {
 	s.mu.Lock()
-	_, known := s.silent[owner]
-	delete(s.silent, owner)
+	_, backedOff := s.backoffUntil[owner]
+	delete(s.backoffUntil, owner)
 	s.mu.Unlock()
-	if known {
-		chiveevent.OwnerBack.Log(ctx, s.o.Logger, slog.String("owner", owner))
+	if backedOff {
+		chiveevent.OwnerBack.Log(ctx, s.options.Logger, slog.String("owner", owner))
 	}
 }
 
-func (s *Service) forget(number uint64) {
+func (s *Service) removePending(number uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.waiting, number)
+	delete(s.pending, number)
 }
 
-// hear hands an answer to the request that waits for it; one that comes too late is dropped, and its place with it after a
-// while, since this node never tells of it.
-func (s *Service) hear(answer PlaceAnswer) {
+// deliver passes a response to the request that waits for it. A response after the timeout is dropped, and the owner
+// drops its grant after a while, since this node never reports the request.
+func (s *Service) deliver(response PlaceAnswer) {
 	s.mu.Lock()
-	answered := s.waiting[answer.Number]
+	responses := s.pending[response.Number]
 	s.mu.Unlock()
-	if answered != nil {
-		answered <- answer
+	if responses != nil {
+		responses <- response
 	}
 }
--- a/chivegrant/groups.go
+++ b/chivegrant/groups.go
@@ -12,203 +12,213 @@
 )
 
 const (
-	// aloneUpTo is the largest fleet in which each node tells all others, a dozen peers every 60 ms. Measured were 7 and 8 nodes, where
-	// that is worth more than asking, and 71 and 78, where asking is.
-	aloneUpTo = 13
-	// groupDraws is how often a second group is drawn for a part before there is none.
-	groupDraws = 16
-	// ownerDraws is how often an owner is drawn for a group before the node with the least groups gets it.
-	ownerDraws = 32
+	// maxBroadcastNodes is the largest fleet in which every node broadcasts its load to all others, a dozen peers every
+	// 60 ms. In measurements, broadcasting was better than asking owners at 7 and 8 nodes and worse at 71 and 78.
+	maxBroadcastNodes = 13
+	// maxGroupAttempts is how many selections are made to find a secondary group that differs from the primary one.
+	maxGroupAttempts = 16
+	// maxOwnerAttempts is how many nodes are selected for a group before it goes to the node that owns the fewest
+	// groups.
+	maxOwnerAttempts = 32
 )
 
-// engine is an endpoint of a pool of engines, as far as its group depends on it.
+// engine is an endpoint of an engine pool, reduced to the fields that the groups depend on.
 type engine struct {
-	id     string
-	domain string
+	id            string
+	failureDomain string
 }
 
-// group names a group of engines of a pool.
-type group struct {
-	pool string
-	at   prefix
+// groupID identifies a group of engines by its pool and its position in the pool's trie.
+type groupID struct {
+	pool   string
+	prefix hashPrefix
 }
 
-// noGroup is the group of a pool without engines.
-var noGroup group
+// noGroup is the zero groupID, used where there is no group.
+var noGroup groupID
 
-// String returns the name under which other nodes are asked for the group.
-func (g group) String() string { return g.pool + "/" + strconv.FormatUint(uint64(g.at), 36) }
+// String returns the group's name in placement requests, logs and state dumps.
+func (id groupID) String() string { return id.pool + "/" + strconv.FormatUint(uint64(id.prefix), 36) }
 
-// parseGroup reads a group's name; false for one of another release.
-func parseGroup(pool, name string) (group, bool) {
-	text, ok := strings.CutPrefix(name, pool+"/")
+// parseGroupID parses the result of groupID.String. It returns false for a malformed name, such as one from another
+// release.
+func parseGroupID(pool, name string) (groupID, bool) {
+	encoded, ok := strings.CutPrefix(name, pool+"/")
 	if !ok {
 		return noGroup, false
 	}
-	at, err := strconv.ParseUint(text, 36, 64)
-	if err != nil || at == 0 {
+	prefix, err := strconv.ParseUint(encoded, 36, 64)
+	if err != nil || prefix == 0 {
 		return noGroup, false
 	}
-	return group{pool, prefix(at)}, true
+	return groupID{pool, hashPrefix(prefix)}, true
 }
 
-// hash is what a group's owner is drawn by.
-func (g group) hash() uint64 { return chiveplace.Weigh(chiveplace.HashID(g.pool), uint64(g.at)) }
+// hash returns the key by which the group's owner is selected.
+func (id groupID) hash() uint64 {
+	return chiveplace.Weigh(chiveplace.HashID(id.pool), uint64(id.prefix))
+}
 
-// groups is one division of the engines into groups and of the groups onto nodes. It never changes.
+// assignment is an immutable snapshot of the split of the engines into groups and of the owners of the groups.
 //
-// The groups of a pool are the leaves of a tree of its engines: they depend on the engines' ids alone, so that nodes agree without talking,
-// and an engine that comes or goes changes one group, or splits or joins two.
-type groups struct {
-	asking bool
-	pools  map[string]*branch[engine]
-	owners map[group]string
-	// owned are the groups of this node.
-	owned []group
+// The groups of a pool are the leaves of a trie of its engines. They depend only on the engine ids, so that nodes agree
+// on them without communication, and adding or removing an engine changes, splits or merges one group.
+type assignment struct {
+	usesOwners bool
+	pools      map[string]*trieNode[engine]
+	owners     map[groupID]string
+	// owned lists the groups that this node owns.
+	owned []groupID
 }
 
-// newGroups divides the engines of each pool over the nodes, seen from one of them.
-func newGroups(pools map[string]*branch[engine], nodes *branch[string], self string) *groups {
-	g := &groups{asking: true, pools: pools}
-	names := g.names()
-	g.owners = ownersOf(names, nodes)
-	for _, name := range names {
-		if g.owners[name] == self {
-			g.owned = append(g.owned, name)
+// newAssignment assigns the groups of each pool to the nodes; self is the address of this node.
+func newAssignment(pools map[string]*trieNode[engine], nodes *trieNode[string], self string) *assignment {
+	a := &assignment{usesOwners: true, pools: pools}
+	ids := a.groupIDs()
+	a.owners = assignOwners(ids, nodes)
+	for _, id := range ids {
+		if a.owners[id] == self {
+			a.owned = append(a.owned, id)
 		}
 	}
-	return g
+	return a
 }
 
-// withEngines returns the division with other engines in the same groups; nil where the groups are not the same.
-func (g *groups) withEngines(pools map[string]*branch[engine]) *groups {
-	next := &groups{asking: g.asking, pools: pools, owners: g.owners, owned: g.owned}
-	if !g.asking || !next.areOwned() {
+// withEngines returns the assignment with changed engines and unchanged owners, or nil if owners were not used before
+// or the set of groups differs.
+func (a *assignment) withEngines(pools map[string]*trieNode[engine]) *assignment {
+	next := &assignment{usesOwners: a.usesOwners, pools: pools, owners: a.owners, owned: a.owned}
+	if !a.usesOwners || !next.matchesOwners() {
 		return nil
 	}
 	return next
 }
 
-// names returns all groups, by pool and in order of their hashes.
-func (g *groups) names() []group {
-	var names []group
-	for _, pool := range slices.Sorted(maps.Keys(g.pools)) {
-		for at := range g.pools[pool].leaves(rootPrefix) {
-			names = append(names, group{pool, at})
+// groupIDs returns all groups, ordered by pool and hash.
+func (a *assignment) groupIDs() []groupID {
+	var ids []groupID
+	for _, pool := range slices.Sorted(maps.Keys(a.pools)) {
+		for prefix := range a.pools[pool].leaves(rootPrefix) {
+			ids = append(ids, groupID{pool, prefix})
 		}
 	}
-	return names
+	return ids
 }
 
-// areOwned reports whether the groups are just those that have owners.
-func (g *groups) areOwned() bool {
+// matchesOwners reports whether the groups are exactly those that have owners.
+func (a *assignment) matchesOwners() bool {
 	count := 0
-	for pool, root := range g.pools {
-		for at := range root.leaves(rootPrefix) {
-			if _, ok := g.owners[group{pool, at}]; !ok {
+	for pool, root := range a.pools {
+		for prefix := range root.leaves(rootPrefix) {
+			if _, ok := a.owners[groupID{pool, prefix}]; !ok {
 				return false
 			}
 			count++
 		}
 	}
-	return count == len(g.owners)
+	return count == len(a.owners)
 }
 
-// ownersOf draws the address of the node that owns each group, so that no node has more than its even share of them, rounded up.
-func ownersOf(names []group, nodes *branch[string]) map[group]string {
-	owners := make(map[group]string, len(names))
+// assignOwners selects the address of the owner of each group. No node gets more than its even share of the groups,
+// rounded up.
+func assignOwners(ids []groupID, nodes *trieNode[string]) map[groupID]string {
+	owners := make(map[groupID]string, len(ids))
 	if nodes.size() == 0 {
 		return owners
 	}
-	share := (len(names) + nodes.size() - 1) / nodes.size()
-	owned := make(map[string]int, nodes.size())
-	for _, name := range names {
-		owner := drawOwner(name.hash(), nodes, owned, share)
-		owners[name] = owner
-		owned[owner]++
+	maxPerNode := (len(ids) + nodes.size() - 1) / nodes.size()
+	ownedCounts := make(map[string]int, nodes.size())
+	for _, id := range ids {
+		owner := selectOwner(id.hash(), nodes, ownedCounts, maxPerNode)
+		owners[id] = owner
+		ownedCounts[owner]++
 	}
 	return owners
 }
 
-// drawOwner returns the first node drawn for a group that has room for it.
-func drawOwner(hash uint64, nodes *branch[string], owned map[string]int, share int) string {
-	for draw := range uint64(ownerDraws) {
-		if node, ok := nodes.drawItem(chiveplace.Weigh(hash, draw)); ok && owned[node] < share {
+// selectOwner returns the first selected node that owns fewer than maxPerNode groups or, after maxOwnerAttempts, the
+// node that owns the fewest.
+func selectOwner(hash uint64, nodes *trieNode[string], ownedCounts map[string]int, maxPerNode int) string {
+	for attempt := range uint64(maxOwnerAttempts) {
+		if node, ok := nodes.selectElement(chiveplace.Weigh(hash, attempt)); ok && ownedCounts[node] < maxPerNode {
 			return node
 		}
 	}
-	least := ""
-	for _, i := range nodes.all() {
-		if least == "" || owned[i.element] < owned[least] {
-			least = i.element
+	leastLoaded := ""
+	for _, it := range nodes.all() {
+		if leastLoaded == "" || ownedCounts[it.element] < ownedCounts[leastLoaded] {
+			leastLoaded = it.element
 		}
 	}
-	return least
+	return leastLoaded
 }
 
-// homes returns the group of a part's home engines in some failure domains, and that of others there; each noGroup when there is none. Large groups
-// get as many more parts.
-func (g *groups) homes(pool string, part uint64, domains chiveresidency.Domains) (first, second group) {
-	root := g.pools[pool]
+// homeGroups returns the primary and the secondary group for a prompt part among the engines of some failure domains;
+// either is noGroup if there is none. A group is selected with a probability proportional to its size.
+func (a *assignment) homeGroups(pool string, part uint64, domains chiveresidency.Domains) (primary, secondary groupID) {
+	root := a.pools[pool]
 	if domains.IsLimited() {
-		root = within(root, domains)
+		root = filterByDomain(root, domains)
 	}
-	for draw := range uint64(groupDraws) {
-		_, at := root.draw(chiveplace.Weigh(part, draw))
+	for attempt := range uint64(maxGroupAttempts) {
+		_, prefix := root.selectLeaf(chiveplace.Weigh(part, attempt))
 		switch {
 		case root.size() == 0:
 			return noGroup, noGroup
-		case first == noGroup:
-			first = group{pool, at}
-		case first.at != at:
-			return first, group{pool, at}
+		case primary == noGroup:
+			primary = groupID{pool, prefix}
+		case primary.prefix != prefix:
+			return primary, groupID{pool, prefix}
 		}
 	}
-	return first, noGroup
+	return primary, noGroup
 }
 
-// within returns the tree of the engines in some failure domains, in the shape of the whole one: its leaves have the same prefixes.
-func within(b *branch[engine], domains chiveresidency.Domains) *branch[engine] {
+// filterByDomain returns the trie restricted to the engines in some failure domains. The remaining leaves keep their
+// prefixes.
+func filterByDomain(root *trieNode[engine], domains chiveresidency.Domains) *trieNode[engine] {
 	switch {
-	case b == nil:
+	case root == nil:
 		return nil
-	case b.isLeaf():
-		items := slices.DeleteFunc(slices.Clone(b.items), func(i item[engine]) bool { return !domains.Contains(i.element.domain) })
+	case root.isLeaf():
+		items := slices.DeleteFunc(slices.Clone(root.items), func(it item[engine]) bool { return !domains.Contains(it.element.failureDomain) })
 		if len(items) == 0 {
 			return nil
 		}
-		return &branch[engine]{count: len(items), items: items}
+		return &trieNode[engine]{count: len(items), items: items}
 	}
-	low, high := within(b.low, domains), within(b.high, domains)
+	low, high := filterByDomain(root.low, domains), filterByDomain(root.high, domains)
 	if low == nil && high == nil {
 		return nil
 	}
-	return &branch[engine]{count: low.size() + high.size(), low: low, high: high}
+	return &trieNode[engine]{count: low.size() + high.size(), low: low, high: high}
 }
 
-// engines returns the ids of a group's engines, also of one that this division has split or joined with others.
-func (g *groups) engines(of group) []string {
-	if of == noGroup {
+// engines returns the ids of the engines of a group. The group may come from a node whose assignment differs from this
+// one, where the group is split or merged with others.
+func (a *assignment) engines(id groupID) []string {
+	if id == noGroup {
 		return nil
 	}
-	items := g.pools[of.pool].under(of.at).all()
+	items := a.pools[id.pool].subtree(id.prefix).all()
 	ids := make([]string, 0, len(items))
-	for _, i := range items {
-		ids = append(ids, i.element.id)
+	for _, it := range items {
+		ids = append(ids, it.element.id)
 	}
 	return ids
 }
 
-// ownerOf returns the address of the node that owns an engine, by its incarnation; empty for one that nobody owns.
-func (g *groups) ownerOf(incarnation string) string {
-	if !g.asking {
+// ownerOf returns the address of the node that owns the engine with an incarnation key, or an empty string if no node
+// owns it.
+func (a *assignment) ownerOf(incarnation string) string {
+	if !a.usesOwners {
 		return ""
 	}
 	hash := chiveplace.HashID(chivedirectory.IDOf(incarnation))
-	for pool, root := range g.pools {
-		leaf, at := root.leafOf(hash)
-		if slices.ContainsFunc(leaf.all(), func(i item[engine]) bool { return i.hash == hash }) {
-			return g.owners[group{pool, at}]
+	for pool, root := range a.pools {
+		leaf, prefix := root.leafFor(hash)
+		if slices.ContainsFunc(leaf.all(), func(it item[engine]) bool { return it.hash == hash }) {
+			return a.owners[groupID{pool, prefix}]
 		}
 	}
 	return ""
--- a/chivegrant/growth_test.go
+++ b/chivegrant/growth_test.go
@@ -11,7 +11,7 @@
 	"chivedrift/chiveplace"
 )
 
-// fleetMembers returns so many members that are alive.
+// fleetMembers returns a number of alive members.
 func fleetMembers(count int) []chivemember.Member {
 	members := make([]chivemember.Member, count)
 	for i := range members {
@@ -21,18 +21,18 @@
 	return members
 }
 
-// newFleetNode returns a node that knows a fleet with ten engines for each member.
+// newFleetNode returns a node that knows a fleet with ten engines per member.
 func newFleetNode(tb testing.TB, members []chivemember.Member) *node {
 	tb.Helper()
 	n := newNode(members[0].Address)
-	n.grant.SetMembers(members)
-	n.learnEngines(tb, 10*len(members))
-	n.grant.Divide()
+	n.service.SetMembers(members)
+	n.setEngines(tb, 10*len(members))
+	n.service.Divide()
 	return n
 }
 
-// allocated returns the bytes that a step allocates.
-func allocated(step func()) uint64 {
+// allocatedBytes returns the number of bytes allocated by step.
+func allocatedBytes(step func()) uint64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	step()
@@ -40,26 +40,26 @@
 	return after.TotalAlloc - before.TotalAlloc
 }
 
-// Guards against a division whose cost for one change grows with nodes times engines.
-func TestCostOfOneChange(t *testing.T) {
+// Guards against a rebalance whose cost for one change grows with the product of nodes and engines.
+func TestRebalanceCostOfOneChange(t *testing.T) {
 	costs := func(nodes int) (engine, member, moved uint64) {
 		members := fleetMembers(nodes)
 		n := newFleetNode(t, members)
-		engine = allocated(func() {
-			n.grant.ApplyEndpoints(chivedirectory.Diff{Changed: []chivedirectory.Endpoint{{ID: "new", Pool: "p", FailureDomain: "a"}}})
-			n.grant.Divide()
+		engine = allocatedBytes(func() {
+			n.service.ApplyEndpoints(chivedirectory.Diff{Changed: []chivedirectory.Endpoint{{ID: "new", Pool: "p", FailureDomain: "a"}}})
+			n.service.Divide()
 		})
 		before := make(map[string]string)
 		for i := range 10 * nodes {
 			id := fmt.Sprintf("e%d", i)
-			before[id] = n.grant.OwnerOf(id)
+			before[id] = n.service.OwnerOf(id)
 		}
-		member = allocated(func() {
-			n.grant.SetMembers(members[1:])
-			n.grant.Divide()
+		member = allocatedBytes(func() {
+			n.service.SetMembers(members[1:])
+			n.service.Divide()
 		})
 		for id, owner := range before {
-			if n.grant.OwnerOf(id) != owner {
+			if n.service.OwnerOf(id) != owner {
 				moved++
 			}
 		}
@@ -67,51 +67,52 @@
 	}
 	smallEngine, smallMember, _ := costs(300)
 	largeEngine, largeMember, moved := costs(2000)
-	t.Logf("bytes for one engine %d, %d; for one member %d, %d; engines that one member moved %d", smallEngine, largeEngine, smallMember, largeMember, moved)
+	t.Logf("bytes allocated at 300 and 2,000 nodes: %d, %d for one engine; %d, %d for one member; one member moved %d engines", smallEngine, largeEngine, smallMember, largeMember, moved)
 	if largeEngine > 2*smallEngine+4096 {
-		t.Errorf("one more engine allocates %d bytes at 2,000 nodes and %d at 300", largeEngine, smallEngine)
+		t.Errorf("adding an engine allocates %d bytes at 2,000 nodes and %d at 300", largeEngine, smallEngine)
 	}
 	if largeMember > 10*smallMember {
-		t.Errorf("one member less allocates %d bytes at 2,000 nodes and %d at 300, more than in proportion", largeMember, smallMember)
+		t.Errorf("removing a member allocates %d bytes at 2,000 nodes and %d at 300, more than proportional", largeMember, smallMember)
 	}
-	const movedMost = 200
-	if moved > movedMost {
-		t.Errorf("one member less moved %d of 20,000 engines, at most %d expected", moved, movedMost)
+	const maxMoved = 200
+	if moved > maxMoved {
+		t.Errorf("removing a member moved %d of 20,000 engines, want at most %d", moved, maxMoved)
 	}
 }
 
-// Guards against groups that depend on the order in which engines came, so that nodes disagree on them.
-func TestGroupsDoNotDependOnTheOrder(t *testing.T) {
+// Guards against groups that depend on the order in which engines were added, so that nodes disagree on them.
+func TestGroupsDoNotDependOnEngineOrder(t *testing.T) {
 	members := fleetMembers(40)
 	a, b := newFleetNode(t, members), newFleetNode(t, members[:20])
 	for i := range 900 {
 		e := chivedirectory.Endpoint{ID: fmt.Sprintf("later%d", (i*7919)%900), Pool: "p"}
-		a.grant.ApplyEndpoints(chivedirectory.Diff{Changed: []chivedirectory.Endpoint{e}})
+		a.service.ApplyEndpoints(chivedirectory.Diff{Changed: []chivedirectory.Endpoint{e}})
 	}
 	for i := range 600 {
-		a.grant.ApplyEndpoints(chivedirectory.Diff{Gone: []chivedirectory.Endpoint{{ID: fmt.Sprintf("later%d", i)}}})
+		a.service.ApplyEndpoints(chivedirectory.Diff{Gone: []chivedirectory.Endpoint{{ID: fmt.Sprintf("later%d", i)}}})
 	}
 	for i := range 300 {
 		e := chivedirectory.Endpoint{ID: fmt.Sprintf("later%d", 899-i), Pool: "p"}
-		b.grant.ApplyEndpoints(chivedirectory.Diff{Changed: []chivedirectory.Endpoint{e}})
+		b.service.ApplyEndpoints(chivedirectory.Diff{Changed: []chivedirectory.Endpoint{e}})
 	}
 	for i := 200; i < 400; i++ {
 		e := chivedirectory.Endpoint{ID: fmt.Sprintf("e%d", i), Pool: "p", FailureDomain: "a"}
-		b.grant.ApplyEndpoints(chivedirectory.Diff{Changed: []chivedirectory.Endpoint{e}})
+		b.service.ApplyEndpoints(chivedirectory.Diff{Changed: []chivedirectory.Endpoint{e}})
 	}
-	b.grant.SetMembers(members)
-	a.grant.Divide()
-	b.grant.Divide()
+	b.service.SetMembers(members)
+	a.service.Divide()
+	b.service.Divide()
 	for i := range 400 {
 		for _, id := range []string{fmt.Sprintf("e%d", i), fmt.Sprintf("later%d", 600+i%300)} {
-			if here, there := a.grant.OwnerOf(id), b.grant.OwnerOf(id); here == "" || here != there {
-				t.Fatalf("engine %s has owner %q at one node and %q at another", id, here, there)
+			if here, there := a.service.OwnerOf(id), b.service.OwnerOf(id); here == "" || here != there {
+				t.Fatalf("engine %s is owned by %q according to one node and %q according to another", id, here, there)
 			}
 		}
 	}
 }
 
-// BenchmarkPlace is one choice of an engine by a node that owns all groups of a pool; the cost must not grow with the pool.
+// BenchmarkPlace measures the choice of an engine by a node that owns all groups of a pool. The cost must not grow with
+// the size of the pool.
 func BenchmarkPlace(b *testing.B) {
 	for _, engines := range []int{3000, 20_000} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
@@ -121,13 +122,13 @@
 				members[i].State = chivemember.Leaving
 			}
 			members[0] = chivemember.Member{Name: "127.0.0.1:1", Address: "127.0.0.1:1", State: chivemember.Alive}
-			n.grant.SetMembers(members)
-			n.learnEngines(b, engines)
-			n.grant.Divide()
-			own := uint64(0)
+			n.service.SetMembers(members)
+			n.setEngines(b, engines)
+			n.service.Divide()
+			id := uint64(0)
 			for b.Loop() {
-				own++
-				place, err := n.place(own)
+				id++
+				place, err := n.place(id)
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/chivegrant/message.go
+++ b/chivegrant/message.go
@@ -11,55 +11,60 @@
 
 // PlaceAsk asks the owner of a group for a place.
 type PlaceAsk struct {
-	// Number names the question among those of its node.
+	// Number identifies the request among those of the sending node.
 	Number uint64
 	Pool   string
 	Group  string
 	Parts  []chiverequest.Part
 	Input  int64
-	// Target, Pause and Urgent are what the prompt says of them.
+	// Target, Pause and Urgent are copied from the prompt.
 	Target time.Duration
 	Pause  time.Duration
 	Urgent time.Duration
 	Rank   chivetable.Rank
-	// Exclude names endpoints that the node would not send to.
+	// Exclude names the endpoints that the requesting node does not send to.
 	Exclude []string
-	// Domains lists the failure domains that the request is limited to; none stands for every domain.
+	// Domains lists the failure domains that the request is limited to; empty means all domains.
 	Domains []string
-	// Most is the loss above which the node would ask elsewhere first, beside that of reading so many tokens again.
+	// Most and MostReads bound the cost of the place: the owner refuses a place whose expected loss exceeds Most plus
+	// the loss of recomputing MostReads prompt tokens, so that the requesting node can try another group first. Most 0
+	// means no bound.
 	Most      float64
 	MostReads int64
 }
 
-func newPlaceAsk(pool, group string, prompt *chiverequest.Prompt) PlaceAsk {
+func newPlacementRequest(pool, group string, prompt *chiverequest.Prompt) PlaceAsk {
 	return PlaceAsk{
 		Pool: pool, Group: group, Parts: prompt.Parts, Input: prompt.Input, Target: prompt.Target, Pause: prompt.Pause, Urgent: prompt.Urgent,
 		Rank: prompt.Rank,
 	}
 }
 
-// domains returns the failure domains that the request is limited to. A request that is limited to none asks nobody.
-func (a PlaceAsk) domains() chiveresidency.Domains {
-	if len(a.Domains) == 0 {
+// domains returns the failure domains that the request is limited to. An empty list means all domains: a request for
+// which no domain is allowed is never sent to an owner.
+func (r PlaceAsk) domains() chiveresidency.Domains {
+	if len(r.Domains) == 0 {
 		return chiveresidency.Domains{}
 	}
-	return chiveresidency.DomainsOf(a.Domains)
+	return chiveresidency.DomainsOf(r.Domains)
 }
 
-func (a PlaceAsk) prompt() *chiverequest.Prompt {
-	return &chiverequest.Prompt{Parts: a.Parts, Input: a.Input, Target: a.Target, Pause: a.Pause, Urgent: a.Urgent, Rank: a.Rank}
+func (r PlaceAsk) prompt() *chiverequest.Prompt {
+	return &chiverequest.Prompt{Parts: r.Parts, Input: r.Input, Target: r.Target, Pause: r.Pause, Urgent: r.Urgent, Rank: r.Rank}
 }
 
-// PlaceAnswer is the owner's answer.
+// PlaceAnswer is the response to a PlaceAsk.
 type PlaceAnswer struct {
-	// Number is the question's, Given the grant's own, by which its node tells that it has it; 0 without a grant.
+	// Number is copied from the request. Given is the number of the grant, which the requesting node acknowledges in
+	// its load reports; 0 if there is no grant.
 	Number uint64
 	Given  uint64
 	Grant  chiveplace.Grant
-	// Unknown tells that the owner does not know the engines of the group yet.
+	// Unknown is set when the owner does not know the pool or any engine of the group yet.
 	Unknown bool
-	// Refused tells why there is no grant; RetryAfter and Loss go with it. FetchFrom and Fetches of the empty grant then name the engine that has read
-	// the most of the prompt, and how much that is.
+	// Refused is the reason why there is no grant; RetryAfter and Loss are set with it. On a refusal, Grant.FetchFrom
+	// is the address of the engine that holds the longest prefix of the prompt and Grant.Fetches the length of that
+	// prefix in tokens.
 	Refused    string
 	RetryAfter time.Duration
 	Loss       float64
--- a/chivegrant/own.go
+++ b/chivegrant/own.go
@@ -11,36 +11,36 @@
 
 func (s *Service) run(ctx context.Context) {
 	for {
-		q, ok := s.inbox.Take(ctx)
+		incoming, ok := s.inbox.Take(ctx)
 		if !ok {
 			return
 		}
-		// When the answer is lost the node decides alone.
-		_ = s.o.Mesh.Send(q.from, chivewire.KindPlaceAnswer, s.decide(q))
+		// If the response is lost, the requesting node places the request locally.
+		_ = s.options.Mesh.Send(incoming.from, chivewire.KindPlaceAnswer, s.respond(incoming))
 	}
 }
 
-// decide answers a question for a group that this node owns.
-func (s *Service) decide(q question) PlaceAnswer {
-	answer := PlaceAnswer{Number: q.ask.Number}
-	pool, among := s.o.Pools.Pool(q.ask.Pool), []string(nil)
-	if asked, ok := parseGroup(q.ask.Pool, q.ask.Group); ok {
-		among = s.divided.Load().engines(asked)
+// respond answers a placement request for a group.
+func (s *Service) respond(incoming incomingRequest) PlaceAnswer {
+	response := PlaceAnswer{Number: incoming.request.Number}
+	pool, engines := s.options.Pools.Pool(incoming.request.Pool), []string(nil)
+	if id, ok := parseGroupID(incoming.request.Pool, incoming.request.Group); ok {
+		engines = s.assignment.Load().engines(id)
 	}
-	if pool == nil || len(among) == 0 {
-		answer.Unknown = true
-		return answer
+	if pool == nil || len(engines) == 0 {
+		response.Unknown = true
+		return response
 	}
-	given := s.given.Add(1)
-	grant, err := pool.Grant(time.Now(), q.from, given, chiveplace.Ask{
-		Prompt: q.ask.prompt(), Exclude: q.ask.Exclude, Among: among, Domains: q.ask.domains(), Most: q.ask.Most, MostReads: q.ask.MostReads,
+	number := s.lastGrant.Add(1)
+	grant, err := pool.Grant(time.Now(), incoming.from, number, chiveplace.Ask{
+		Prompt: incoming.request.prompt(), Exclude: incoming.request.Exclude, Among: engines, Domains: incoming.request.domains(), Most: incoming.request.Most, MostReads: incoming.request.MostReads,
 	})
 	var refused *chiveplace.RefusedError
 	if errors.As(err, &refused) {
-		answer.Refused, answer.RetryAfter, answer.Loss = refused.Reason, refused.RetryAfter, refused.Loss
-		answer.Grant.FetchFrom, answer.Grant.Fetches = refused.Holder, refused.Held
-		return answer
+		response.Refused, response.RetryAfter, response.Loss = refused.Reason, refused.RetryAfter, refused.Loss
+		response.Grant.FetchFrom, response.Grant.Fetches = refused.Holder, refused.Held
+		return response
 	}
-	answer.Given, answer.Grant = given, grant
-	return answer
+	response.Given, response.Grant = number, grant
+	return response
 }
--- a/chivegrant/service.go
+++ b/chivegrant/service.go
@@ -24,41 +24,45 @@
 const ServiceName = "grants"
 
 const (
-	// askWithin is how long an owner may take: several times the way there and back, and far less than any target.
-	askWithin = 40 * time.Millisecond
-	// silentFor is how long an owner that did not answer is not asked: about the time until it is noticed as dead.
-	silentFor = 2 * time.Second
-	inboxSize = 1024
-	// divideEvery is the least time between two divisions: when a deployment starts, thousands of engines come one by one.
-	divideEvery = 300 * time.Millisecond
-	// settledAfter is how long a fleet that a node has come to know has to stay the same to count as known, and settledAtLast how long after
-	// its start the node does not wait any longer: a fleet in which nodes are replaced all the time never stays the same. Whole views come
-	// within 0.1 s in a small fleet; 300 nodes that start at once know each other after 0.6 s.
-	settledAfter  = 200 * time.Millisecond
-	settledAtLast = 1500 * time.Millisecond
-	// spillLoss is how much more the home group of a part may cost than reading the prompt anew in another group.
-	spillLoss = 0.3
+	// requestTimeout is how long an owner may take to respond: several network round trips, and far less than any
+	// latency target.
+	requestTimeout = 40 * time.Millisecond
+	// ownerBackoff is how long an owner that did not respond is not asked: about the time until it is detected as dead.
+	ownerBackoff  = 2 * time.Second
+	inboxCapacity = 1024
+	// minRebalanceInterval is the minimum time between two rebalances. When a deployment starts, thousands of engines
+	// are added one at a time.
+	minRebalanceInterval = 300 * time.Millisecond
+	// settleDelay is how long the membership has to stay unchanged before the node considers it complete. After
+	// maxSettleTime since its start the node stops waiting, because a fleet whose nodes are replaced continuously never
+	// stays unchanged. A small fleet has the complete membership within 0.1 s; 300 nodes that start at the same time
+	// have it after 0.6 s.
+	settleDelay   = 200 * time.Millisecond
+	maxSettleTime = 1500 * time.Millisecond
+	// spillLossMargin is by how much the loss in the primary group may exceed the loss of recomputing the whole prompt
+	// before the secondary group is asked.
+	spillLossMargin = 0.3
 )
 
-// ErrAlone tells that the node has to decide alone.
-var ErrAlone = errors.New("no owner answers")
+// ErrAlone is returned when the node has to place the request locally.
+var ErrAlone = errors.New("no group owner placed the request")
 
-// Pools are the pools that places are granted in.
+// Pools gives access to the pools in which places are granted.
 type Pools interface {
-	// Pool returns the pool of a name, or nil.
+	// Pool returns the pool with a name, or nil.
 	Pool(name string) *chiveplace.Pool
-	// Release drops what other nodes have on endpoints that this node does not keep.
+	// Release drops the requests of other nodes on endpoints for which kept returns false.
 	Release(kept func(endpoint string) bool)
 }
 
-// Options are the parts the service is made of.
+// Options are the dependencies of the service.
 type Options struct {
 	Mesh   *chivewire.Mesh
 	Pools  Pools
 	Logger *slog.Logger
 }
 
-// Counts are how this node's questions went, since its start.
+// Counts are the numbers of placement requests sent by this node since its start, by outcome.
 type Counts struct {
 	Asked   int64
 	Granted int64
@@ -66,123 +70,126 @@
 	Silent  int64
 }
 
-// question is one question with its sender.
-type question struct {
-	from string
-	ask  PlaceAsk
+// incomingRequest is a placement request with the address of its sender.
+type incomingRequest struct {
+	from    string
+	request PlaceAsk
 }
 
-// Service asks owners for places, and answers for the groups that this node owns.
+// Service asks the owners of groups for places and responds for the groups that this node owns.
 type Service struct {
-	o       Options
-	inbox   *chivering.Ring[question]
-	divided atomic.Pointer[groups]
-	numbers atomic.Uint64
-	given   atomic.Uint64
-	asked   atomic.Int64
-	granted atomic.Int64
-	refused atomic.Int64
-	unheard atomic.Int64
+	options     Options
+	inbox       *chivering.Ring[incomingRequest]
+	assignment  atomic.Pointer[assignment]
+	lastRequest atomic.Uint64
+	lastGrant   atomic.Uint64
+	asked       atomic.Int64
+	granted     atomic.Int64
+	refused     atomic.Int64
+	timedOut    atomic.Int64
 
 	mu sync.Mutex
-	// endpoints holds the endpoints of each pool, by the hashes of their ids; engines is the set of pools that have engines.
-	endpoints map[string]*branch[engine]
-	engines   map[string]bool
-	// nodes holds the addresses of the members that are alive, by their hashes; moved means that they changed since the last division.
-	nodes     *branch[string]
-	moved     bool
-	members   int
-	changedAt time.Time
-	began     time.Time
-	waiting   map[uint64]chan PlaceAnswer
-	silent    map[string]time.Time
-	seen      map[string]uint64
-	duties    chivekernel.Duties
-	changed   chan struct{}
+	// endpoints holds the endpoints of each pool by the hashes of their ids; enginePools marks the pools of engines.
+	endpoints   map[string]*trieNode[engine]
+	enginePools map[string]bool
+	// nodes holds the addresses of the alive members by their hashes; nodesChanged is set when they changed since the
+	// last rebalance.
+	nodes            *trieNode[string]
+	nodesChanged     bool
+	memberCount      int
+	membersChangedAt time.Time
+	startedAt        time.Time
+	pending          map[uint64]chan PlaceAnswer
+	backoffUntil     map[string]time.Time
+	adopted          map[string]uint64
+	goroutines       chivekernel.Duties
+	rebalanceTrigger chan struct{}
 }
 
-// New returns a service that knows no engines yet.
-func New(o Options) *Service {
+// New returns a service without engines and members.
+func New(options Options) *Service {
 	s := &Service{
-		o: o, inbox: chivering.New[question](inboxSize), engines: make(map[string]bool), endpoints: make(map[string]*branch[engine]), waiting: make(map[uint64]chan PlaceAnswer),
-		silent: make(map[string]time.Time), seen: make(map[string]uint64), changed: make(chan struct{}, 1),
+		options: options, inbox: chivering.New[incomingRequest](inboxCapacity), enginePools: make(map[string]bool), endpoints: make(map[string]*trieNode[engine]), pending: make(map[uint64]chan PlaceAnswer),
+		backoffUntil: make(map[string]time.Time), adopted: make(map[string]uint64), rebalanceTrigger: make(chan struct{}, 1),
 	}
-	s.divided.Store(&groups{})
-	chivewire.Receive(o.Mesh, chivewire.KindPlaceAsk, func(from string, ask PlaceAsk) {
-		// A full ring is silence to the node that asks: it decides alone.
-		s.inbox.Offer(question{from, ask})
+	s.assignment.Store(&assignment{})
+	chivewire.Receive(options.Mesh, chivewire.KindPlaceAsk, func(from string, request PlaceAsk) {
+		// A request that does not fit into the inbox is dropped; after its timeout the requesting node places locally.
+		s.inbox.Offer(incomingRequest{from, request})
 	})
-	chivewire.Receive(o.Mesh, chivewire.KindPlaceAnswer, func(_ string, answer PlaceAnswer) { s.hear(answer) })
+	chivewire.Receive(options.Mesh, chivewire.KindPlaceAnswer, func(_ string, response PlaceAnswer) { s.deliver(response) })
 	return s
 }
 
-// Start begins to answer.
+// Start begins to respond to placement requests and to rebalance after changes.
 func (s *Service) Start(ctx context.Context) error {
 	s.mu.Lock()
-	s.began = time.Now()
+	s.startedAt = time.Now()
 	s.mu.Unlock()
-	s.duties.Begin(ctx, s.run, s.divideWhenChanged)
+	s.goroutines.Begin(ctx, s.run, s.rebalanceLoop)
 	return nil
 }
 
-// Stop ends that.
+// Stop ends the goroutines of the service and waits for them.
 func (s *Service) Stop(context.Context) error {
-	s.duties.End()
+	s.goroutines.End()
 	return nil
 }
 
-// Dump returns the groups with their owners.
+// Dump returns the groups with their owners and the state of the inbox.
 func (s *Service) Dump() any {
-	g := s.divided.Load()
-	owners := make(map[string]string, len(g.owners))
-	for name, owner := range g.owners {
-		owners[name.String()] = owner
+	a := s.assignment.Load()
+	owners := make(map[string]string, len(a.owners))
+	for id, owner := range a.owners {
+		owners[id.String()] = owner
 	}
 	return struct {
 		Asking bool              `json:"asking"`
 		Owners map[string]string `json:"owners"`
 		Ring   chivering.Depth   `json:"ring"`
-	}{g.asking, owners, s.inbox.Depth()}
+	}{a.usesOwners, owners, s.inbox.Depth()}
 }
 
-// SetTable takes a configuration that came into force.
+// SetTable applies a new configuration.
 func (s *Service) SetTable(table *chivetable.Table) {
 	s.mu.Lock()
-	s.engines = make(map[string]bool)
+	s.enginePools = make(map[string]bool)
 	for _, p := range table.Pools() {
-		s.engines[p.Name] = p.Engine.Slots > 0
+		s.enginePools[p.Name] = p.Engine.Slots > 0
 	}
 	s.mu.Unlock()
-	s.change()
+	s.triggerRebalance()
 }
 
-// ApplyEndpoints takes a change of the directory. The groups change only where an endpoint comes, goes or changes its pool.
+// ApplyEndpoints applies a directory change. A rebalance is triggered only if an endpoint is added, is removed or
+// changes its pool or failure domain.
 func (s *Service) ApplyEndpoints(diff chivedirectory.Diff) {
 	s.mu.Lock()
-	divides := false
+	changed := false
 	for _, e := range diff.Gone {
-		divides = s.removeExcept(e, "") || divides
+		changed = s.removeFromOtherPools(e, "") || changed
 	}
 	for _, e := range diff.Changed {
-		divides = s.removeExcept(e, e.Pool) || divides
+		changed = s.removeFromOtherPools(e, e.Pool) || changed
 		hash := chiveplace.HashID(e.ID)
-		added := engine{id: e.ID, domain: e.FailureDomain}
+		added := engine{id: e.ID, failureDomain: e.FailureDomain}
 		if known, ok := s.endpoints[e.Pool].find(hash); !ok || known != added {
 			s.endpoints[e.Pool] = s.endpoints[e.Pool].insert(hash, added, 0)
-			divides = true
+			changed = true
 		}
 	}
 	s.mu.Unlock()
-	if divides {
-		s.change()
+	if changed {
+		s.triggerRebalance()
 	}
 }
 
-// removeExcept removes an endpoint from all pools except one and reports whether it was in any; the caller holds the lock.
-func (s *Service) removeExcept(e chivedirectory.Endpoint, except string) (removed bool) {
+// removeFromOtherPools removes an endpoint from all pools except keep and reports whether it was in any of them. The
+// caller holds the lock.
+func (s *Service) removeFromOtherPools(e chivedirectory.Endpoint, keep string) (removed bool) {
 	hash := chiveplace.HashID(e.ID)
 	for pool, root := range s.endpoints {
-		if _, ok := root.find(hash); ok && pool != except {
+		if _, ok := root.find(hash); ok && pool != keep {
 			s.endpoints[pool] = root.remove(hash, 0)
 			removed = true
 		}
@@ -190,18 +197,18 @@
 	return removed
 }
 
-// SetMembers takes a change of the fleet.
+// SetMembers applies a membership change.
 func (s *Service) SetMembers(members []chivemember.Member) {
 	s.mu.Lock()
-	s.members = len(members)
-	s.changedAt = time.Now()
+	s.memberCount = len(members)
+	s.membersChangedAt = time.Now()
 	present := make(map[uint64]bool, len(members))
 	for _, m := range members {
 		hash := chiveplace.HashID(m.Address)
 		present[hash] = true
 		_, known := s.nodes.find(hash)
 		if alive := m.State == chivemember.Alive; alive != known {
-			s.moved = true
+			s.nodesChanged = true
 			if alive {
 				s.nodes = s.nodes.insert(hash, m.Address, 0)
 			} else {
@@ -209,109 +216,111 @@
 			}
 		}
 	}
-	for _, i := range s.nodes.all() {
-		if !present[i.hash] {
-			s.nodes, s.moved = s.nodes.remove(i.hash, 0), true
+	for _, it := range s.nodes.all() {
+		if !present[it.hash] {
+			s.nodes, s.nodesChanged = s.nodes.remove(it.hash, 0), true
 		}
 	}
-	there := func(address string) bool { return present[chiveplace.HashID(address)] }
-	// What is remembered of nodes that were replaced would otherwise grow for ever.
-	maps.DeleteFunc(s.silent, func(address string, _ time.Time) bool { return !there(address) })
-	maps.DeleteFunc(s.seen, func(address string, _ uint64) bool { return !there(address) })
+	isMember := func(address string) bool { return present[chiveplace.HashID(address)] }
+	// Drops the state of nodes that left the fleet, which would otherwise grow without bound as nodes are replaced.
+	maps.DeleteFunc(s.backoffUntil, func(address string, _ time.Time) bool { return !isMember(address) })
+	maps.DeleteFunc(s.adopted, func(address string, _ uint64) bool { return !isMember(address) })
 	s.mu.Unlock()
-	s.change()
+	s.triggerRebalance()
 }
 
-// change wakes the goroutine that divides.
-func (s *Service) change() {
+// triggerRebalance wakes rebalanceLoop.
+func (s *Service) triggerRebalance() {
 	select {
-	case s.changed <- struct{}{}:
+	case s.rebalanceTrigger <- struct{}{}:
 	default:
 	}
 }
 
-func (s *Service) divideWhenChanged(ctx context.Context) {
+func (s *Service) rebalanceLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.changed:
+		case <-s.rebalanceTrigger:
 			s.Divide()
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(divideEvery):
+		case <-time.After(minRebalanceInterval):
 		}
 	}
 }
 
-// Divide works out the groups and their owners from what is known now; changes do it by themselves, a moment later.
+// Divide recomputes the groups and their owners. Changes of the configuration, endpoints and members trigger it
+// automatically after a short delay.
 func (s *Service) Divide() {
 	s.mu.Lock()
-	pools := make(map[string]*branch[engine])
+	pools := make(map[string]*trieNode[engine])
 	for pool, root := range s.endpoints {
-		if s.engines[pool] {
+		if s.enginePools[pool] {
 			pools[pool] = root
 		}
 	}
-	before := s.divided.Load()
-	g := &groups{}
-	if s.members > aloneUpTo {
-		if !s.moved {
-			g = before.withEngines(pools)
+	previous := s.assignment.Load()
+	next := &assignment{}
+	if s.memberCount > maxBroadcastNodes {
+		if !s.nodesChanged {
+			next = previous.withEngines(pools)
 		}
-		if s.moved || g == nil {
-			g = newGroups(pools, s.nodes, s.o.Mesh.Self())
+		if s.nodesChanged || next == nil {
+			next = newAssignment(pools, s.nodes, s.options.Mesh.Self())
 		}
 	}
-	s.moved = false
-	s.divided.Store(g)
-	nodes := s.members
+	s.nodesChanged = false
+	s.assignment.Store(next)
+	memberCount := s.memberCount
 	s.mu.Unlock()
-	if g.asking != before.asking || !slices.Equal(g.owned, before.owned) {
-		chiveevent.EnginesDivided.Log(context.Background(), s.o.Logger, slog.Bool("asking", g.asking), slog.Int("nodes", nodes),
-			slog.Int("groups", len(g.owners)), slog.Any("owned_here", g.owned))
+	if next.usesOwners != previous.usesOwners || !slices.Equal(next.owned, previous.owned) {
+		chiveevent.EnginesDivided.Log(context.Background(), s.options.Logger, slog.Bool("asking", next.usesOwners), slog.Int("nodes", memberCount),
+			slog.Int("groups", len(next.owners)), slog.Any("owned_here", next.owned))
 	}
-	if g.asking {
-		s.o.Pools.Release(func(endpoint string) bool { return g.ownerOf(endpoint) == s.o.Mesh.Self() })
+	if next.usesOwners {
+		s.options.Pools.Release(func(endpoint string) bool { return next.ownerOf(endpoint) == s.options.Mesh.Self() })
 	}
 }
 
-// Counts returns how this node's questions went.
+// Counts returns the numbers of placement requests by outcome.
 func (s *Service) Counts() Counts {
-	return Counts{Asked: s.asked.Load(), Granted: s.granted.Load(), Refused: s.refused.Load(), Silent: s.unheard.Load()}
+	return Counts{Asked: s.asked.Load(), Granted: s.granted.Load(), Refused: s.refused.Load(), Silent: s.timedOut.Load()}
 }
 
-// Settled reports whether this node knows the fleet: others have been heard of and none came or went just now, or it has run for a while.
+// Settled reports whether this node knows the fleet: there are other members and the membership has been unchanged for
+// a while, or the node has been running for long enough.
 func (s *Service) Settled() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	stays := s.members > 1 && time.Since(s.changedAt) >= settledAfter
-	return stays || !s.began.IsZero() && time.Since(s.began) >= settledAtLast
+	stable := s.memberCount > 1 && time.Since(s.membersChangedAt) >= settleDelay
+	return stable || !s.startedAt.IsZero() && time.Since(s.startedAt) >= maxSettleTime
 }
 
-// Asking reports whether the fleet is so large that owners are asked.
-func (s *Service) Asking() bool { return s.divided.Load().asking }
+// Asking reports whether the fleet is large enough that owners are asked for places.
+func (s *Service) Asking() bool { return s.assignment.Load().usesOwners }
 
-// OwnerOf returns the address of the node that owns an engine; empty for an endpoint that nobody owns.
-func (s *Service) OwnerOf(endpoint string) string { return s.divided.Load().ownerOf(endpoint) }
+// OwnerOf returns the address of the node that owns an engine, or an empty string if no node owns it.
+func (s *Service) OwnerOf(endpoint string) string { return s.assignment.Load().ownerOf(endpoint) }
 
 // Owned returns the ids of the engines of a pool that this node owns.
 func (s *Service) Owned(pool string) []string {
-	g := s.divided.Load()
+	a := s.assignment.Load()
 	var owned []string
-	for _, of := range g.owned {
-		if of.pool == pool {
-			owned = append(owned, g.engines(of)...)
+	for _, id := range a.owned {
+		if id.pool == pool {
+			owned = append(owned, a.engines(id)...)
 		}
 	}
 	return owned
 }
 
-// Seen returns the newest grant of an owner that this node has taken.
+// Seen returns the number of the newest grant adopted from an owner.
 func (s *Service) Seen(owner string) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.seen[owner]
+	return s.adopted[owner]
 }
--- a/chivegrant/tree.go
+++ b/chivegrant/tree.go
@@ -7,170 +7,172 @@
 	"chivedrift/chiveplace"
 )
 
-// leafMost is the most elements in a leaf of a tree. Leaves of hashes that are spread evenly hold two thirds of it in the mean.
-const leafMost = 12
+// maxLeafItems is the maximum number of items in a leaf. With evenly distributed hashes a leaf holds two thirds of that
+// on average.
+const maxLeafItems = 12
 
-// prefix names a node of a tree by the leading bits of the hashes below it, behind a first bit that is 1.
-type prefix uint64
+// hashPrefix identifies a trie node by the leading hash bits common to its items, preceded by a 1 bit that marks the
+// length.
+type hashPrefix uint64
 
-// rootPrefix is the prefix of no bits.
-const rootPrefix prefix = 1
+// rootPrefix is the empty prefix.
+const rootPrefix hashPrefix = 1
 
-func (p prefix) child(high bool) prefix {
+func (p hashPrefix) child(high bool) hashPrefix {
 	if high {
 		return p<<1 | 1
 	}
 	return p << 1
 }
 
-// item is an element of a tree with its hash, which identifies it.
+// item is an element of a trie with the hash that identifies it.
 type item[E any] struct {
 	hash    uint64
 	element E
 }
 
-// branch is a node of an immutable binary tree of elements by the bits of their hashes. A node with leafMost elements or fewer is a leaf, so that
-// the shape depends on the elements alone and not on the order in which they came. A change copies the nodes on the way to one leaf. The
-// empty tree is nil.
-type branch[E any] struct {
+// trieNode is a node of an immutable binary trie of elements, indexed by the bits of their hashes. A node with at most
+// maxLeafItems items is a leaf, so that the shape depends only on the elements and not on the order of insertion. An
+// update copies the nodes on the path to one leaf. The empty trie is nil.
+type trieNode[E any] struct {
 	count int
-	// low and high are nil in a leaf, items is nil elsewhere.
-	low   *branch[E]
-	high  *branch[E]
+	// low and high are nil in a leaf; items is nil in an inner node.
+	low   *trieNode[E]
+	high  *trieNode[E]
 	items []item[E]
 }
 
 // size returns the number of elements.
-func (b *branch[E]) size() int {
-	if b == nil {
+func (n *trieNode[E]) size() int {
+	if n == nil {
 		return 0
 	}
-	return b.count
+	return n.count
 }
 
-func (b *branch[E]) isLeaf() bool { return b == nil || b.low == nil && b.high == nil }
+func (n *trieNode[E]) isLeaf() bool { return n == nil || n.low == nil && n.high == nil }
 
-// child returns one of the two subtrees of a node that is not a leaf.
-func (b *branch[E]) child(high bool) *branch[E] {
+// child returns one of the subtrees of an inner node.
+func (n *trieNode[E]) child(high bool) *trieNode[E] {
 	if high {
-		return b.high
+		return n.high
 	}
-	return b.low
+	return n.low
 }
 
-// bitOf returns the bit of a hash that decides at a depth.
-func bitOf(hash uint64, depth int) bool { return hash>>(63-depth)&1 == 1 }
+// bitAt returns the bit of a hash that selects the child at a depth.
+func bitAt(hash uint64, depth int) bool { return hash>>(63-depth)&1 == 1 }
 
-// insert returns the tree with an element, which replaces one of the same hash.
-func (b *branch[E]) insert(hash uint64, element E, depth int) *branch[E] {
-	if b.isLeaf() {
-		return newBranch(withItem(b.all(), item[E]{hash, element}), depth)
+// insert returns the trie with an element added, replacing an element with the same hash.
+func (n *trieNode[E]) insert(hash uint64, element E, depth int) *trieNode[E] {
+	if n.isLeaf() {
+		return newTrie(withItem(n.all(), item[E]{hash, element}), depth)
 	}
-	low, high := b.low, b.high
-	if bitOf(hash, depth) {
+	low, high := n.low, n.high
+	if bitAt(hash, depth) {
 		high = high.insert(hash, element, depth+1)
 	} else {
 		low = low.insert(hash, element, depth+1)
 	}
-	return &branch[E]{count: low.size() + high.size(), low: low, high: high}
+	return &trieNode[E]{count: low.size() + high.size(), low: low, high: high}
 }
 
-// remove returns the tree without the element of a hash.
-func (b *branch[E]) remove(hash uint64, depth int) *branch[E] {
-	if b.isLeaf() {
-		items := slices.DeleteFunc(slices.Clone(b.all()), func(i item[E]) bool { return i.hash == hash })
-		return newBranch(items, depth)
+// remove returns the trie without the element that has a hash.
+func (n *trieNode[E]) remove(hash uint64, depth int) *trieNode[E] {
+	if n.isLeaf() {
+		items := slices.DeleteFunc(slices.Clone(n.all()), func(it item[E]) bool { return it.hash == hash })
+		return newTrie(items, depth)
 	}
-	low, high := b.low, b.high
-	if bitOf(hash, depth) {
+	low, high := n.low, n.high
+	if bitAt(hash, depth) {
 		high = high.remove(hash, depth+1)
 	} else {
 		low = low.remove(hash, depth+1)
 	}
-	if low.size()+high.size() <= leafMost {
-		return newBranch(slices.Concat(low.all(), high.all()), depth)
+	if low.size()+high.size() <= maxLeafItems {
+		return newTrie(slices.Concat(low.all(), high.all()), depth)
 	}
-	return &branch[E]{count: low.size() + high.size(), low: low, high: high}
+	return &trieNode[E]{count: low.size() + high.size(), low: low, high: high}
 }
 
-// newBranch makes a tree of items in order of their hashes.
-func newBranch[E any](items []item[E], depth int) *branch[E] {
+// newTrie builds a trie from items sorted by hash.
+func newTrie[E any](items []item[E], depth int) *trieNode[E] {
 	if len(items) == 0 {
 		return nil
 	}
-	if len(items) <= leafMost {
-		return &branch[E]{count: len(items), items: items}
+	if len(items) <= maxLeafItems {
+		return &trieNode[E]{count: len(items), items: items}
 	}
-	cut := slices.IndexFunc(items, func(i item[E]) bool { return bitOf(i.hash, depth) })
-	if cut < 0 {
-		cut = len(items)
+	split := slices.IndexFunc(items, func(it item[E]) bool { return bitAt(it.hash, depth) })
+	if split < 0 {
+		split = len(items)
 	}
-	return &branch[E]{count: len(items), low: newBranch(items[:cut:cut], depth+1), high: newBranch(items[cut:], depth+1)}
+	return &trieNode[E]{count: len(items), low: newTrie(items[:split:split], depth+1), high: newTrie(items[split:], depth+1)}
 }
 
-// withItem returns a copy of sorted items with another one.
+// withItem returns a copy of sorted items with one item inserted or replaced.
 func withItem[E any](items []item[E], added item[E]) []item[E] {
-	at, found := slices.BinarySearchFunc(items, added.hash, func(i item[E], hash uint64) int {
+	index, found := slices.BinarySearchFunc(items, added.hash, func(it item[E], hash uint64) int {
 		switch {
-		case i.hash < hash:
+		case it.hash < hash:
 			return -1
-		case i.hash > hash:
+		case it.hash > hash:
 			return 1
 		}
 		return 0
 	})
 	if found {
 		items = slices.Clone(items)
-		items[at] = added
+		items[index] = added
 		return items
 	}
-	return slices.Insert(slices.Clone(items), at, added)
+	return slices.Insert(slices.Clone(items), index, added)
 }
 
-// all returns the items of a leaf or of a subtree, in order of their hashes; the caller does not change them.
-func (b *branch[E]) all() []item[E] {
+// all returns the items of a subtree, sorted by hash. The caller must not modify the result.
+func (n *trieNode[E]) all() []item[E] {
 	switch {
-	case b == nil:
+	case n == nil:
 		return nil
-	case b.isLeaf():
-		return b.items
+	case n.isLeaf():
+		return n.items
 	}
-	return slices.Concat(b.low.all(), b.high.all())
+	return slices.Concat(n.low.all(), n.high.all())
 }
 
-// find returns the element of a hash.
-func (b *branch[E]) find(hash uint64) (element E, ok bool) {
-	leaf, _ := b.leafOf(hash)
-	for _, i := range leaf.all() {
-		if i.hash == hash {
-			return i.element, true
+// find returns the element that has a hash.
+func (n *trieNode[E]) find(hash uint64) (element E, ok bool) {
+	leaf, _ := n.leafFor(hash)
+	for _, it := range leaf.all() {
+		if it.hash == hash {
+			return it.element, true
 		}
 	}
 	return element, false
 }
 
-// leafOf returns the leaf in which a hash is or would be, and its prefix.
-func (b *branch[E]) leafOf(hash uint64) (leaf *branch[E], at prefix) {
-	at = rootPrefix
-	for depth := 0; !b.isLeaf(); depth++ {
-		high := bitOf(hash, depth)
-		at = at.child(high)
-		b = b.child(high)
+// leafFor returns the leaf that a hash belongs to, and the prefix of that leaf.
+func (n *trieNode[E]) leafFor(hash uint64) (leaf *trieNode[E], prefix hashPrefix) {
+	prefix = rootPrefix
+	for depth := 0; !n.isLeaf(); depth++ {
+		high := bitAt(hash, depth)
+		prefix = prefix.child(high)
+		n = n.child(high)
 	}
-	return b, at
+	return n, prefix
 }
 
-// under returns the subtree with a prefix, or the leaf that covers it.
-func (b *branch[E]) under(wanted prefix) *branch[E] {
-	depth := wanted.bits()
-	for i := depth - 1; i >= 0 && !b.isLeaf(); i-- {
-		b = b.child(wanted>>i&1 == 1)
+// subtree returns the subtree with a prefix, or the leaf that covers the prefix if the trie ends above it.
+func (n *trieNode[E]) subtree(prefix hashPrefix) *trieNode[E] {
+	depth := prefix.bits()
+	for i := depth - 1; i >= 0 && !n.isLeaf(); i-- {
+		n = n.child(prefix>>i&1 == 1)
 	}
-	return b
+	return n
 }
 
-// bits returns the number of bits of a prefix.
-func (p prefix) bits() int {
+// bits returns the length of the prefix in bits.
+func (p hashPrefix) bits() int {
 	bits := 0
 	for ; p > rootPrefix; p >>= 1 {
 		bits++
@@ -178,42 +180,44 @@
 	return bits
 }
 
-// draw returns the leaf that a key falls to, with a chance by the number of its elements. One more element moves about as many keys as it takes.
-func (b *branch[E]) draw(key uint64) (leaf *branch[E], at prefix) {
-	at = rootPrefix
-	for !b.isLeaf() {
-		// 53 bits are what a float64 holds.
-		point := float64(chiveplace.Weigh(key, uint64(at))>>11) / (1 << 53)
-		high := point*float64(b.count) >= float64(b.low.size())
-		at = at.child(high)
-		b = b.child(high)
+// selectLeaf returns the leaf that a key maps to, and its prefix. The probability of a leaf is proportional to its
+// number of elements, so that one more element remaps only about the share of keys that it receives.
+func (n *trieNode[E]) selectLeaf(key uint64) (leaf *trieNode[E], prefix hashPrefix) {
+	prefix = rootPrefix
+	for !n.isLeaf() {
+		// A float64 represents integers of 53 bits exactly.
+		fraction := float64(chiveplace.Weigh(key, uint64(prefix))>>11) / (1 << 53)
+		high := fraction*float64(n.count) >= float64(n.low.size())
+		prefix = prefix.child(high)
+		n = n.child(high)
 	}
-	return b, at
+	return n, prefix
 }
 
-// drawItem returns the element that a key falls to.
-func (b *branch[E]) drawItem(key uint64) (element E, ok bool) {
-	leaf, _ := b.draw(key)
+// selectElement returns the element that a key maps to: the one with the highest rendezvous hash in the leaf of the
+// key.
+func (n *trieNode[E]) selectElement(key uint64) (element E, ok bool) {
+	leaf, _ := n.selectLeaf(key)
 	var highest uint64
-	for _, i := range leaf.all() {
-		if weight := chiveplace.Weigh(i.hash, key); !ok || weight > highest {
-			element, highest, ok = i.element, weight, true
+	for _, it := range leaf.all() {
+		if weight := chiveplace.Weigh(it.hash, key); !ok || weight > highest {
+			element, highest, ok = it.element, weight, true
 		}
 	}
 	return element, ok
 }
 
-// leaves yields the leaves that are not empty with their prefixes, in order of their hashes.
-func (b *branch[E]) leaves(at prefix) iter.Seq2[prefix, *branch[E]] {
-	return func(yield func(prefix, *branch[E]) bool) { b.walk(at, yield) }
+// leaves iterates over the non-empty leaves and their prefixes, in the order of their hashes.
+func (n *trieNode[E]) leaves(prefix hashPrefix) iter.Seq2[hashPrefix, *trieNode[E]] {
+	return func(yield func(hashPrefix, *trieNode[E]) bool) { n.walk(prefix, yield) }
 }
 
-func (b *branch[E]) walk(at prefix, yield func(prefix, *branch[E]) bool) bool {
+func (n *trieNode[E]) walk(prefix hashPrefix, yield func(hashPrefix, *trieNode[E]) bool) bool {
 	switch {
-	case b == nil:
+	case n == nil:
 		return true
-	case b.isLeaf():
-		return yield(at, b)
+	case n.isLeaf():
+		return yield(prefix, n)
 	}
-	return b.low.walk(at.child(false), yield) && b.high.walk(at.child(true), yield)
+	return n.low.walk(prefix.child(false), yield) && n.high.walk(prefix.child(true), yield)
 }
