--- a/chivebudget/property_test.go
+++ b/chivebudget/property_test.go
@@ -12,56 +12,56 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against repeats over the limit by shares that are handed over while nodes are killed, cut off and started anew. In no window may the
-// repeats exceed the ratio of that window's or the one before's requests plus the headroom.
-func TestFleetStaysWithinTheLimitWhenSharesAreHandedOver(t *testing.T) {
+// Guards against exceeding the budget by lending between nodes while some are killed, partitioned or restarted. In no
+// window may the retries exceed the ratio times the requests of that window or the one before, plus the headroom.
+func TestBorrowingKeepsFleetWithinLimit(t *testing.T) {
 	const pool = "p"
 	limits := chiveforward.BudgetLimits{Ratio: 0.2, Headroom: 50, Window: 10 * time.Second}
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(2, 9).Draw(t, "nodes")
 		start, at := time.Now(), time.Duration(0)
 		budgets := make([]*chiveforward.Budget, nodes)
-		begin := func(i int) {
+		reset := func(i int) {
 			budgets[i] = chiveforward.NewBudget(start.Add(at), limits)
 			budgets[i].SetNodes(start.Add(at), nodes)
 		}
 		for i := range budgets {
-			begin(i)
+			reset(i)
 		}
-		var requests, repeats []time.Duration
+		var requests, retries []time.Duration
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
-			at += time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * time.Millisecond
+			at += time.Duration(rapid.IntRange(0, 300).Draw(t, "elapsed")) * time.Millisecond
 			node := rapid.IntRange(0, nodes-1).Draw(t, "node")
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
+			switch rapid.IntRange(0, 9).Draw(t, "action") {
 			case 0:
-				begin(node)
+				reset(node)
 			case 1:
 				budgets[node].SetNodes(start.Add(at), 1)
 			case 2, 3, 4, 5:
-				budgets[node].Request(start.Add(at), toPool)
+				budgets[node].Request(start.Add(at), poolRequest)
 				requests = append(requests, at)
 			}
-			for range rapid.IntRange(0, 6).Draw(t, "wish") {
+			for range rapid.IntRange(0, 6).Draw(t, "attempts") {
 				switch lender := rapid.IntRange(0, nodes-1).Draw(t, "lender"); {
-				case budgets[node].Spend(start.Add(at), toPool):
-					repeats = append(repeats, at)
-				case lender != node && budgets[lender].Lend(start.Add(at), pool) && rapid.Bool().Draw(t, "answered"):
-					// The repeat is made up to the time that a request waits for answers later.
-					repeats = append(repeats, at+time.Duration(rapid.IntRange(0, 60).Draw(t, "later"))*time.Millisecond)
+				case budgets[node].Spend(start.Add(at), poolRequest):
+					retries = append(retries, at)
+				case lender != node && budgets[lender].Lend(start.Add(at), pool) && rapid.Bool().Draw(t, "response arrives"):
+					// A borrowed retry is sent up to the borrowing time-out later.
+					retries = append(retries, at+time.Duration(rapid.IntRange(0, 60).Draw(t, "delay"))*time.Millisecond)
 				}
 			}
 		}
-		for _, end := range repeats {
-			spent := within(repeats, end-limits.Window, end)
-			asked := max(within(requests, end-limits.Window, end), within(requests, end-2*limits.Window, end-limits.Window))
-			if float64(spent) > limits.Ratio*float64(asked)+limits.Headroom {
-				t.Fatalf("%d repeats in the window to %v for %d requests", spent, end, asked)
+		for _, end := range retries {
+			retried := countWithin(retries, end-limits.Window, end)
+			requested := max(countWithin(requests, end-limits.Window, end), countWithin(requests, end-2*limits.Window, end-limits.Window))
+			if float64(retried) > limits.Ratio*float64(requested)+limits.Headroom {
+				t.Fatalf("%d retries in the window ending at %v for %d requests", retried, end, requested)
 			}
 		}
 	})
 }
 
-func within(times []time.Duration, from, to time.Duration) int {
+func countWithin(times []time.Duration, from, to time.Duration) int {
 	n := 0
 	for _, at := range times {
 		if at > from && at <= to {
@@ -71,11 +71,12 @@
 	return n
 }
 
-// Guards against repeats that are withheld at the nodes of a failure domain whose endpoints are dark while all other nodes have theirs left.
-func TestDarkDomainGetsTheOthersRepeats(t *testing.T) {
+// Guards against denying retries to the nodes of a failure domain whose endpoints are unreachable while all other nodes
+// have retries left.
+func TestFailedDomainBorrowsRetriesFromOthers(t *testing.T) {
 	const (
-		nodes, domains = 1000, 5
-		perDarkNode    = 2
+		nodes, domains       = 1000, 5
+		retriesPerFailedNode = 2
 	)
 	start := time.Now()
 	limits := chiveforward.BudgetLimits{Ratio: 0.2, Headroom: 1040, Window: 10 * time.Second}
@@ -90,34 +91,34 @@
 	now := start.Add(limits.Window)
 	for _, b := range budgets {
 		for range 2 {
-			b.Request(now, toPool)
+			b.Request(now, poolRequest)
 		}
 	}
 	ranked := chivemember.AddressesByHash(members)
 	random := rand.New(rand.NewPCG(1, 1))
-	alone, withheld, wanted := 0, 0, 0
-	for range perDarkNode {
+	deniedLocally, denied, attempted := 0, 0, 0
+	for range retriesPerFailedNode {
 		for i := 0; i < nodes; i += domains {
-			wanted++
-			if budgets[members[i].Address].Spend(now, toPool) {
+			attempted++
+			if budgets[members[i].Address].Spend(now, poolRequest) {
 				continue
 			}
-			alone++
+			deniedLocally++
 			partners := chivemember.Partners(members[i].Address, ranked)
 			random.Shuffle(len(partners), func(a, b int) { partners[a], partners[b] = partners[b], partners[a] })
 			granted := false
 			for _, p := range partners {
-				if granted = budgets[p].Lend(now, toPool.Pool); granted {
+				if granted = budgets[p].Lend(now, poolRequest.Pool); granted {
 					break
 				}
 			}
 			if !granted {
-				withheld++
+				denied++
 			}
 		}
 	}
-	t.Logf("%d repeats wanted, %d withheld without peers, %d with them", wanted, alone, withheld)
-	if float64(withheld) > 0.03*float64(wanted) {
-		t.Errorf("%d of %d repeats are withheld, at most 3 in 100 expected", withheld, wanted)
+	t.Logf("%d retries attempted, %d denied without borrowing, %d with borrowing", attempted, deniedLocally, denied)
+	if float64(denied) > 0.03*float64(attempted) {
+		t.Errorf("%d of %d retries are denied, want at most 3 in 100", denied, attempted)
 	}
 }
--- a/chivebudget/service.go
+++ b/chivebudget/service.go
@@ -19,63 +19,63 @@
 const ServiceName = "repeats"
 
 const (
-	// answerWithin is how long a peer may take to answer: several times the way there and back within a region.
-	answerWithin = 20 * time.Millisecond
-	// borrowWithin bounds the time that a request waits for all peers that are asked.
-	borrowWithin = 60 * time.Millisecond
-	// silentFor is how long a peer that did not answer is not asked.
-	silentFor = 2 * time.Second
+	// responseTimeout is how long a peer may take to respond: several network round trips within a region.
+	responseTimeout = 20 * time.Millisecond
+	// borrowTimeout bounds the total time that a request waits for the peers that are asked.
+	borrowTimeout = 60 * time.Millisecond
+	// peerBackoff is how long a peer that did not respond is not asked.
+	peerBackoff = 2 * time.Second
 )
 
-// Share is a node's own part of the limit.
+// Share is this node's share of the retry budget.
 type Share interface {
 	chiveforward.Repeats
-	// Lend takes one repeat for a peer and reports whether there was one left.
+	// Lend spends one retry on behalf of a peer and reports whether one was left.
 	Lend(now time.Time, pool string) bool
 }
 
-// Ask asks a peer for a repeat of a request to a pool.
+// Ask asks a peer for a retry of a request to a pool.
 type Ask struct {
-	// Number names the question among those of its node.
+	// Number identifies the request among those of the sending node.
 	Number uint64
 	Pool   string
 }
 
-// Answer is the peer's answer.
+// Answer is the response to an Ask.
 type Answer struct {
 	Number  uint64
 	Granted bool
 }
 
-// Service spends a node's own share first and then asks peers for theirs.
+// Service spends retries from this node's share and borrows from peers once that is used up.
 type Service struct {
 	Share
-	mesh     *chivewire.Mesh
-	numbers  atomic.Uint64
-	borrowed atomic.Int64
-	lent     atomic.Int64
-
-	mu       sync.Mutex
-	partners []string
-	waiting  map[uint64]chan bool
-	silent   map[string]time.Time
+	mesh        *chivewire.Mesh
+	lastRequest atomic.Uint64
+	borrowed    atomic.Int64
+	lent        atomic.Int64
+
+	mu           sync.Mutex
+	partners     []string
+	pending      map[uint64]chan bool
+	backoffUntil map[string]time.Time
 }
 
-// New returns a service that knows no peers yet.
+// New returns a service without peers.
 func New(mesh *chivewire.Mesh, share Share) *Service {
-	s := &Service{Share: share, mesh: mesh, waiting: make(map[uint64]chan bool), silent: make(map[string]time.Time)}
-	chivewire.Receive(mesh, chivewire.KindRepeatAsk, s.lend)
-	chivewire.Receive(mesh, chivewire.KindRepeatAnswer, func(_ string, answer Answer) { s.take(answer) })
+	s := &Service{Share: share, mesh: mesh, pending: make(map[uint64]chan bool), backoffUntil: make(map[string]time.Time)}
+	chivewire.Receive(mesh, chivewire.KindRepeatAsk, s.respond)
+	chivewire.Receive(mesh, chivewire.KindRepeatAnswer, func(_ string, response Answer) { s.deliver(response) })
 	return s
 }
 
-// Start does nothing: repeats are taken on the requests' goroutines.
+// Start does nothing: retries are borrowed on the goroutines of the requests.
 func (s *Service) Start(context.Context) error { return nil }
 
 // Stop does nothing.
 func (s *Service) Stop(context.Context) error { return nil }
 
-// Dump returns how many repeats were taken from peers and handed to them.
+// Dump returns how many retries were borrowed from peers and lent to them.
 func (s *Service) Dump() any {
 	return struct {
 		Borrowed int64 `json:"borrowed"`
@@ -83,34 +83,34 @@
 	}{s.borrowed.Load(), s.lent.Load()}
 }
 
-// SetMembers takes a change of the fleet. Peers in other regions are not asked, since their answers would come after answerWithin and the repeats
-// that they hand over would be lost.
+// SetMembers applies a membership change. Peers in other regions are not asked: their responses would arrive after
+// responseTimeout, and the retries that they lend would be lost.
 func (s *Service) SetMembers(members []chivemember.Member) {
-	near := members
-	if own := slices.IndexFunc(members, func(m chivemember.Member) bool { return m.Address == s.mesh.Self() }); own >= 0 {
-		near = slices.DeleteFunc(slices.Clone(members), func(m chivemember.Member) bool { return m.Region != members[own].Region })
+	regional := members
+	if self := slices.IndexFunc(members, func(m chivemember.Member) bool { return m.Address == s.mesh.Self() }); self >= 0 {
+		regional = slices.DeleteFunc(slices.Clone(members), func(m chivemember.Member) bool { return m.Region != members[self].Region })
 	}
-	partners := chivemember.Partners(s.mesh.Self(), chivemember.AddressesByHash(near))
+	partners := chivemember.Partners(s.mesh.Self(), chivemember.AddressesByHash(regional))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.partners = partners
-	clear(s.silent)
+	clear(s.backoffUntil)
 }
 
-// Spend takes one repeat, from a peer's share where the own one is used up, and reports whether there was one.
+// Spend spends one retry, borrowing it from a peer if this node's share is used up, and reports whether it got one.
 func (s *Service) Spend(now time.Time, request *chiverequest.Request) bool {
 	if s.Share.Spend(now, request) {
 		return true
 	}
-	until := now.Add(borrowWithin)
-	if request.Deadline.Before(until) {
-		until = request.Deadline
+	deadline := now.Add(borrowTimeout)
+	if request.Deadline.Before(deadline) {
+		deadline = request.Deadline
 	}
 	for _, peer := range s.peers(now) {
-		if !time.Now().Before(until) {
+		if !time.Now().Before(deadline) {
 			return false
 		}
-		if s.ask(peer, request.Pool) {
+		if s.borrow(peer, request.Pool) {
 			s.borrowed.Add(1)
 			return true
 		}
@@ -118,18 +118,18 @@
 	return false
 }
 
-// Explain returns what the own share rests on and how many repeats peers have handed over, for the log.
+// Explain returns the log attributes of this node's share and the number of retries borrowed from peers.
 func (s *Service) Explain(now time.Time, request *chiverequest.Request) []slog.Attr {
 	return append(s.Share.Explain(now, request), slog.Int64("borrowed", s.borrowed.Load()))
 }
 
-// peers returns the peers to ask, in an order that differs from request to request.
+// peers returns the peers to ask in random order, without those in backoff.
 func (s *Service) peers(now time.Time) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	peers := make([]string, 0, len(s.partners))
 	for _, p := range s.partners {
-		if now.After(s.silent[p]) {
+		if now.After(s.backoffUntil[p]) {
 			peers = append(peers, p)
 		}
 	}
@@ -137,52 +137,52 @@
 	return peers
 }
 
-// ask asks one peer and waits a short while for its answer.
-func (s *Service) ask(peer, pool string) bool {
-	ask := Ask{Number: s.numbers.Add(1), Pool: pool}
-	answered := make(chan bool, 1)
+// borrow asks one peer for a retry and waits up to responseTimeout for its response.
+func (s *Service) borrow(peer, pool string) bool {
+	request := Ask{Number: s.lastRequest.Add(1), Pool: pool}
+	responses := make(chan bool, 1)
 	s.mu.Lock()
-	s.waiting[ask.Number] = answered
+	s.pending[request.Number] = responses
 	s.mu.Unlock()
-	defer s.forget(ask.Number)
-	if err := s.mesh.Send(peer, chivewire.KindRepeatAsk, ask); err != nil {
+	defer s.removePending(request.Number)
+	if err := s.mesh.Send(peer, chivewire.KindRepeatAsk, request); err != nil {
 		return false
 	}
-	timer := time.NewTimer(answerWithin)
+	timer := time.NewTimer(responseTimeout)
 	defer timer.Stop()
 	select {
-	case granted := <-answered:
+	case granted := <-responses:
 		return granted
 	case now := <-timer.C:
 		s.mu.Lock()
-		s.silent[peer] = now.Add(silentFor)
+		s.backoffUntil[peer] = now.Add(peerBackoff)
 		s.mu.Unlock()
 		return false
 	}
 }
 
-func (s *Service) forget(number uint64) {
+func (s *Service) removePending(number uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.waiting, number)
+	delete(s.pending, number)
 }
 
-// lend answers a peer's question.
-func (s *Service) lend(from string, ask Ask) {
-	granted := s.Lend(time.Now(), ask.Pool)
+// respond handles a peer's request for a retry.
+func (s *Service) respond(from string, request Ask) {
+	granted := s.Lend(time.Now(), request.Pool)
 	if granted {
 		s.lent.Add(1)
 	}
-	// A lost answer loses the repeat, which keeps the limit.
-	_ = s.mesh.Send(from, chivewire.KindRepeatAnswer, Answer{Number: ask.Number, Granted: granted})
+	// If the response is lost, the retry is lost too, which keeps the fleet within the budget.
+	_ = s.mesh.Send(from, chivewire.KindRepeatAnswer, Answer{Number: request.Number, Granted: granted})
 }
 
-// take hands an answer to the request that waits for it.
-func (s *Service) take(answer Answer) {
+// deliver passes a response to the request that waits for it.
+func (s *Service) deliver(response Answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if answered := s.waiting[answer.Number]; answered != nil {
-		answered <- answer.Granted
-		delete(s.waiting, answer.Number)
+	if responses := s.pending[response.Number]; responses != nil {
+		responses <- response.Granted
+		delete(s.pending, response.Number)
 	}
 }
--- a/chivebudget/service_test.go
+++ b/chivebudget/service_test.go
@@ -14,20 +14,20 @@
 	"chivedrift/chivewire"
 )
 
-var toPool = &chiverequest.Request{Pool: "p"}
+var poolRequest = &chiverequest.Request{Pool: "p"}
 
 type node struct {
 	service *chivebudget.Service
 	mesh    *chivewire.Mesh
 }
 
-// startNode starts a node whose share is one repeat of a fleet's limit.
+// startNode starts a node whose share of the budget of a fleet with that many nodes is one retry.
 func startNode(t *testing.T, nodes int) *node {
 	t.Helper()
 	mesh := chivewire.NewMesh(chivestand.FreeAddress(), chivewire.TCP{})
-	began := time.Now().Add(-time.Minute)
-	budget := chiveforward.NewBudget(began, chiveforward.BudgetLimits{Headroom: 1.3 * float64(nodes), Window: 10 * time.Second})
-	budget.SetNodes(began, nodes)
+	created := time.Now().Add(-time.Minute)
+	budget := chiveforward.NewBudget(created, chiveforward.BudgetLimits{Headroom: 1.3 * float64(nodes), Window: 10 * time.Second})
+	budget.SetNodes(created, nodes)
 	n := &node{chivebudget.New(mesh, budget), mesh}
 	if err := mesh.Start(context.Background()); err != nil {
 		t.Fatal(err)
@@ -36,16 +36,16 @@
 	return n
 }
 
-// spend returns how many repeats a node gets before one is refused.
+// spend returns how many retries a node gets before one is denied.
 func (n *node) spend() (spent int) {
-	request := &chiverequest.Request{Pool: toPool.Pool, Deadline: time.Now().Add(5 * time.Second)}
+	request := &chiverequest.Request{Pool: poolRequest.Pool, Deadline: time.Now().Add(5 * time.Second)}
 	for n.service.Spend(time.Now(), request) {
 		spent++
 	}
 	return spent
 }
 
-func TestNodeTakesRepeatsFromItsPeers(t *testing.T) {
+func TestNodeBorrowsRetriesFromPeers(t *testing.T) {
 	nodes := []*node{startNode(t, 4), startNode(t, 4), startNode(t, 4)}
 	var members []chivemember.Member
 	for _, n := range nodes {
@@ -55,32 +55,32 @@
 		n.service.SetMembers(members)
 	}
 	if spent := nodes[0].spend(); spent != 3 {
-		t.Errorf("a node of three got %d repeats, want its own and one of each peer", spent)
+		t.Errorf("a node of three got %d retries, want its own and one from each peer", spent)
 	}
 	if spent := nodes[1].spend(); spent != 0 {
-		t.Errorf("%d repeats are left after all shares were spent", spent)
+		t.Errorf("%d retries are left after all shares were spent", spent)
 	}
 }
 
-// Guards against repeats that a peer hands over and that come too late, so that nobody uses them.
+// Guards against retries that are lost because a peer lends them in a response that arrives too late.
 func TestPeersInOtherRegionsAreNotAsked(t *testing.T) {
-	near, far := startNode(t, 2), startNode(t, 2)
+	node1, node2 := startNode(t, 2), startNode(t, 2)
 	members := []chivemember.Member{
-		{Name: near.mesh.Self(), Address: near.mesh.Self(), Region: "r1", State: chivemember.Alive},
-		{Name: far.mesh.Self(), Address: far.mesh.Self(), Region: "r2", State: chivemember.Alive},
+		{Name: node1.mesh.Self(), Address: node1.mesh.Self(), Region: "r1", State: chivemember.Alive},
+		{Name: node2.mesh.Self(), Address: node2.mesh.Self(), Region: "r2", State: chivemember.Alive},
 	}
-	near.service.SetMembers(members)
-	far.service.SetMembers(members)
-	if spent := near.spend(); spent != 1 {
-		t.Errorf("a node got %d repeats, want its own one", spent)
+	node1.service.SetMembers(members)
+	node2.service.SetMembers(members)
+	if spent := node1.spend(); spent != 1 {
+		t.Errorf("the first node got %d retries, want only its own", spent)
 	}
-	if spent := far.spend(); spent != 1 {
-		t.Errorf("the node in the other region has %d repeats left, want its own one", spent)
+	if spent := node2.spend(); spent != 1 {
+		t.Errorf("the node in the other region got %d retries, want its own", spent)
 	}
 }
 
-// Guards against requests held up by a peer that accepts connections and does not answer.
-func TestSilentPeerIsNotWaitedFor(t *testing.T) {
+// Guards against requests that are delayed by a peer that accepts connections but does not respond.
+func TestUnresponsivePeerDoesNotDelayRequests(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -91,15 +91,15 @@
 		{Name: n.mesh.Self(), Address: n.mesh.Self(), State: chivemember.Alive},
 		{Name: "silent", Address: listener.Addr().String(), State: chivemember.Alive},
 	})
-	began := time.Now()
+	start := time.Now()
 	if spent := n.spend(); spent != 1 {
-		t.Errorf("%d repeats, want the own one", spent)
+		t.Errorf("got %d retries, want only the node's own", spent)
 	}
-	if took := time.Since(began); took > 500*time.Millisecond {
-		t.Errorf("the request waited %v", took)
+	if took := time.Since(start); took > 500*time.Millisecond {
+		t.Errorf("the request waited %v for the peer", took)
 	}
-	again := time.Now()
-	if n.spend(); time.Since(again) > 10*time.Millisecond {
-		t.Errorf("the next one waited %v for a peer that is known to be silent", time.Since(again))
+	secondStart := time.Now()
+	if n.spend(); time.Since(secondStart) > 10*time.Millisecond {
+		t.Errorf("the second request waited %v for a peer that is in backoff", time.Since(secondStart))
 	}
 }
