--- a/chivequota/bucket.go
+++ b/chivequota/bucket.go
@@ -4,52 +4,52 @@
 	"time"
 )
 
-// Bucket is a token bucket that may go into debt: a request larger than the bucket passes when the bucket is not
-// empty, and later ones wait until the debt is paid, so that the long-run rate holds for requests of any size.
+// Bucket is a token bucket that may go into debt. A request larger than the bucket passes while the balance is
+// positive, and later requests wait until the debt is paid, so that the long-run rate holds for requests of any size.
 type Bucket struct {
-	limit   float64
-	balance float64
-	at      time.Time
+	limit     float64
+	balance   float64
+	updatedAt time.Time
 }
 
 const (
-	burst      = 2 * time.Second
-	retryLeast = 100 * time.Millisecond
-	retryMost  = time.Minute
+	burstDuration = 2 * time.Second
+	minRetryAfter = 100 * time.Millisecond
+	maxRetryAfter = time.Minute
 )
 
-// NewBucket returns a bucket that holds one second of its limit, in tokens a second.
+// NewBucket returns a bucket that holds the tokens of one second; limit is in tokens per second.
 func NewBucket(limit int64, now time.Time) *Bucket {
-	return &Bucket{limit: float64(limit), balance: float64(limit), at: now}
+	return &Bucket{limit: float64(limit), balance: float64(limit), updatedAt: now}
 }
 
-// SetLimit takes a changed limit.
+// SetLimit changes the limit.
 func (b *Bucket) SetLimit(now time.Time, limit int64) {
-	b.fill(now)
+	b.refill(now)
 	b.limit = float64(limit)
 }
 
-// Take draws tokens, or tells when the debt will be paid.
-func (b *Bucket) Take(now time.Time, tokens int64) (ok bool, after time.Duration) {
-	b.fill(now)
+// Take draws tokens, or reports after which time the debt will be paid.
+func (b *Bucket) Take(now time.Time, tokens int64) (ok bool, retryAfter time.Duration) {
+	b.refill(now)
 	if b.balance <= 0 {
 		wait := time.Duration(-b.balance / max(b.limit, 1) * float64(time.Second))
-		return false, min(max(wait, retryLeast), retryMost)
+		return false, min(max(wait, minRetryAfter), maxRetryAfter)
 	}
 	b.balance -= float64(tokens)
 	return true, 0
 }
 
-// Return gives tokens back, or draws more when negative.
+// Return puts tokens back, or draws more if tokens is negative.
 func (b *Bucket) Return(now time.Time, tokens int64) {
-	b.fill(now)
-	b.balance = min(b.balance+float64(tokens), b.limit*burst.Seconds())
+	b.refill(now)
+	b.balance = min(b.balance+float64(tokens), b.limit*burstDuration.Seconds())
 }
 
-// Balance returns the tokens in the bucket, negative for a debt.
+// Balance returns the tokens in the bucket; a negative balance is a debt.
 func (b *Bucket) Balance() int64 { return int64(b.balance) }
 
-func (b *Bucket) fill(now time.Time) {
-	b.balance = min(b.balance+b.limit*now.Sub(b.at).Seconds(), b.limit*burst.Seconds())
-	b.at = now
+func (b *Bucket) refill(now time.Time) {
+	b.balance = min(b.balance+b.limit*now.Sub(b.updatedAt).Seconds(), b.limit*burstDuration.Seconds())
+	b.updatedAt = now
 }
--- a/chivequota/service.go
+++ b/chivequota/service.go
@@ -15,12 +15,12 @@
 const ServiceName = "quota"
 
 const (
-	replyWait   = 250 * time.Millisecond
-	bucketsMost = 4096
-	bucketKept  = time.Minute
+	replyTimeout      = 250 * time.Millisecond
+	maxBuckets        = 4096
+	bucketIdleTimeout = time.Minute
 )
 
-// Request draws tokens of a team's limit; a request with ID 0 gives tokens back and has no reply.
+// Request draws tokens from a team's limit. A request with ID 0 returns tokens instead and gets no reply.
 type Request struct {
 	ID     int64
 	Team   string
@@ -28,47 +28,47 @@
 	Tokens int64
 }
 
-// Grant answers a request.
+// Grant is the reply to a request.
 type Grant struct {
 	ID      int64
 	OK      bool
 	AfterMs int64
 }
 
-// Service is both sides: the owner of the teams that hash to this node, and the gateway that asks.
+// Service holds the buckets of the teams that this node owns and requests tokens from the owners of teams.
 type Service struct {
-	mesh    *chivewire.Mesh
-	members atomic.Pointer[[]chivemember.Member]
-	next    atomic.Int64
-	mu      sync.Mutex
-	buckets map[string]*Bucket
-	shares  map[string]*Bucket
-	limits  map[string]int64
-	waiting map[int64]chan Grant
+	mesh         *chivewire.Mesh
+	members      atomic.Pointer[[]chivemember.Member]
+	lastID       atomic.Int64
+	mu           sync.Mutex
+	buckets      map[string]*Bucket
+	localBuckets map[string]*Bucket
+	limits       map[string]int64
+	pending      map[int64]chan Grant
 }
 
-// NewService returns a quota without buckets.
+// NewService returns a service without buckets.
 func NewService(mesh *chivewire.Mesh) *Service {
 	s := &Service{
-		mesh: mesh, buckets: make(map[string]*Bucket), shares: make(map[string]*Bucket), limits: make(map[string]int64),
-		waiting: make(map[int64]chan Grant),
+		mesh: mesh, buckets: make(map[string]*Bucket), localBuckets: make(map[string]*Bucket), limits: make(map[string]int64),
+		pending: make(map[int64]chan Grant),
 	}
 	s.members.Store(&[]chivemember.Member{})
-	chivewire.Receive(mesh, chivewire.KindQuotaRequest, s.onRequest)
-	chivewire.Receive(mesh, chivewire.KindQuotaGrant, s.onGrant)
+	chivewire.Receive(mesh, chivewire.KindQuotaRequest, s.handleRequest)
+	chivewire.Receive(mesh, chivewire.KindQuotaGrant, s.handleGrant)
 	return s
 }
 
-// SetMembers takes a change of the fleet.
+// SetMembers applies a membership change.
 func (s *Service) SetMembers(members []chivemember.Member) { s.members.Store(&members) }
 
-// Start does nothing: requests run on their callers' goroutines.
+// Start does nothing: requests are sent on the goroutines of the callers.
 func (s *Service) Start(context.Context) error { return nil }
 
 // Stop does nothing.
 func (s *Service) Stop(context.Context) error { return nil }
 
-// Dump returns the balances of the teams that this node keeps.
+// Dump returns the balances of the teams that this node holds buckets for.
 func (s *Service) Dump() any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,23 +79,24 @@
 	return balances
 }
 
-// Take asks the team's owner for tokens; without its word in time, this node's own share of the limit decides.
-func (s *Service) Take(ctx context.Context, team string, limit, tokens int64) (ok bool, after time.Duration) {
+// Take draws tokens from the team's bucket at its owner. If the owner does not reply in time, this node's even share of
+// the limit decides.
+func (s *Service) Take(ctx context.Context, team string, limit, tokens int64) (ok bool, retryAfter time.Duration) {
 	s.mu.Lock()
 	s.limits[team] = limit
 	s.mu.Unlock()
-	grant, heard := s.ask(ctx, Request{ID: s.next.Add(1), Team: team, Limit: limit, Tokens: tokens})
-	if heard {
+	grant, answered := s.request(ctx, Request{ID: s.lastID.Add(1), Team: team, Limit: limit, Tokens: tokens})
+	if answered {
 		return grant.OK, time.Duration(grant.AfterMs) * time.Millisecond
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	share := max(limit/int64(max(len(*s.members.Load()), 1)), 1)
-	return bucketOf(s.shares, team, share, now).Take(now, tokens)
+	return bucketOf(s.localBuckets, team, share, now).Take(now, tokens)
 }
 
-// Return gives back what a request did not use, or charges what it used beyond its estimate.
+// Return puts back the tokens that a request did not use, or draws the tokens that it used beyond its estimate.
 func (s *Service) Return(team string, tokens int64) {
 	s.mu.Lock()
 	limit, limited := s.limits[team]
@@ -104,7 +105,7 @@
 		return
 	}
 	if owner, ok := s.ownerOf(team); ok {
-		// When this is lost the team's limit is off by one request's estimate.
+		// If this message is lost, the team's balance is off by the error of one request's estimate.
 		_ = s.mesh.Send(owner, chivewire.KindQuotaRequest, Request{Team: team, Limit: limit, Tokens: tokens})
 	}
 }
@@ -117,33 +118,33 @@
 	return ranked[0].Address, true
 }
 
-func (s *Service) ask(ctx context.Context, r Request) (Grant, bool) {
+func (s *Service) request(ctx context.Context, r Request) (Grant, bool) {
 	owner, ok := s.ownerOf(r.Team)
 	if !ok {
 		return Grant{}, false
 	}
-	answer := make(chan Grant, 1)
+	replies := make(chan Grant, 1)
 	s.mu.Lock()
-	s.waiting[r.ID] = answer
+	s.pending[r.ID] = replies
 	s.mu.Unlock()
 	defer func() {
 		s.mu.Lock()
-		delete(s.waiting, r.ID)
+		delete(s.pending, r.ID)
 		s.mu.Unlock()
 	}()
 	if err := s.mesh.Send(owner, chivewire.KindQuotaRequest, r); err != nil {
 		return Grant{}, false
 	}
 	select {
-	case g := <-answer:
+	case g := <-replies:
 		return g, true
-	case <-time.After(replyWait):
+	case <-time.After(replyTimeout):
 	case <-ctx.Done():
 	}
 	return Grant{}, false
 }
 
-func (s *Service) onRequest(from string, r Request) {
+func (s *Service) handleRequest(from string, r Request) {
 	now := time.Now()
 	s.mu.Lock()
 	b := bucketOf(s.buckets, r.Team, r.Limit, now)
@@ -152,27 +153,28 @@
 		s.mu.Unlock()
 		return
 	}
-	ok, after := b.Take(now, r.Tokens)
+	ok, retryAfter := b.Take(now, r.Tokens)
 	s.mu.Unlock()
-	// Without the reply the gateway falls back on its own share.
-	_ = s.mesh.Send(from, chivewire.KindQuotaGrant, Grant{ID: r.ID, OK: ok, AfterMs: after.Milliseconds()})
+	// If the reply is lost, the requesting node falls back on its own share of the limit.
+	_ = s.mesh.Send(from, chivewire.KindQuotaGrant, Grant{ID: r.ID, OK: ok, AfterMs: retryAfter.Milliseconds()})
 }
 
-func (s *Service) onGrant(_ string, g Grant) {
+func (s *Service) handleGrant(_ string, g Grant) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if answer, ok := s.waiting[g.ID]; ok {
-		answer <- g
-		delete(s.waiting, g.ID)
+	if replies, ok := s.pending[g.ID]; ok {
+		replies <- g
+		delete(s.pending, g.ID)
 	}
 }
 
-// bucketOf returns a team's bucket; the caller holds the lock. Buckets that were idle are forgotten when there are many.
+// bucketOf returns the bucket of a team, creating it if needed. Idle buckets are evicted when there are maxBuckets. The
+// caller holds the lock.
 func bucketOf(buckets map[string]*Bucket, team string, limit int64, now time.Time) *Bucket {
 	b, ok := buckets[team]
 	if !ok {
-		if len(buckets) >= bucketsMost {
-			forgetIdle(buckets, now)
+		if len(buckets) >= maxBuckets {
+			evictIdle(buckets, now)
 		}
 		b = NewBucket(limit, now)
 		buckets[team] = b
@@ -183,9 +185,9 @@
 	return b
 }
 
-func forgetIdle(buckets map[string]*Bucket, now time.Time) {
+func evictIdle(buckets map[string]*Bucket, now time.Time) {
 	for team, b := range buckets {
-		if now.Sub(b.at) > bucketKept {
+		if now.Sub(b.updatedAt) > bucketIdleTimeout {
 			delete(buckets, team)
 		}
 	}
