--- a/chivecache/doc.go
+++ b/chivecache/doc.go
@@ -1,3 +1,4 @@
-// Package chivecache asks engines which prompt parts they hold when a node begins to decide for them: a node that has just started, or
-// that takes over engines from another one, else sends prompts to engines that have to read again what others hold.
+// Package chivecache queries which prompt parts the engines have cached when a node begins to place requests on them.
+// Without that, a node that has just started or has taken over engines from another node would send prompts to engines
+// that have to recompute what other engines have cached.
 package chivecache
--- a/chivecache/service.go
+++ b/chivecache/service.go
@@ -19,37 +19,38 @@
 const ServiceName = "cache reconciliation"
 
 const (
-	// askWithin bounds one question; an engine answers between two steps.
-	askWithin = time.Second
-	// lookEvery is how often the service looks which engines to ask.
-	lookEvery = 100 * time.Millisecond
-	// askedMost is how many engines are asked at a time.
-	askedMost = 4
+	// queryTimeout bounds one query; an engine responds between two of its steps.
+	queryTimeout = time.Second
+	// pollInterval is how often the service checks for engines to query.
+	pollInterval = 100 * time.Millisecond
+	// maxConcurrentQueries is the maximum number of engines queried at the same time.
+	maxConcurrentQueries = 4
 )
 
-// Caches asks an endpoint for its cache.
+// Caches queries the caches of endpoints.
 type Caches interface {
-	// Held returns the prompt parts that an endpoint holds.
+	// Held returns the prompt parts that an endpoint has cached.
 	Held(ctx context.Context, endpoint chivedirectory.Endpoint) ([]chiverequest.Part, error)
 }
 
-// Pools are the pools that learn of caches.
+// Pools gives access to the pools that the cache contents are passed to.
 type Pools interface {
-	// Pool returns the pool of a name, or nil.
+	// Pool returns the pool with a name, or nil.
 	Pool(name string) *chiveplace.Pool
 }
 
-// Owners tell which engines this node decides for in a fleet too large for each to decide for all.
+// Owners reports which engines this node owns, in a fleet too large for every node to place requests on all engines by
+// itself.
 type Owners interface {
-	// Settled reports whether the node knows the fleet by now.
+	// Settled reports whether the node knows the fleet yet.
 	Settled() bool
-	// Asking reports whether the fleet is that large.
+	// Asking reports whether the fleet is large enough that each engine has an owner.
 	Asking() bool
 	// Owned returns the ids of the engines of a pool that this node owns.
 	Owned(pool string) []string
 }
 
-// Options are the parts the service is made of.
+// Options are the dependencies of the service.
 type Options struct {
 	Caches Caches
 	Pools  Pools
@@ -57,108 +58,110 @@
 	Logger *slog.Logger
 }
 
-// Service asks each engine once for which this node decides.
+// Service queries each engine once, when this node begins to place requests on it.
 type Service struct {
-	o  Options
-	mu sync.Mutex
-	// engines are the pools that have engines.
-	engines []string
-	learnt  atomic.Int64
-	failed  atomic.Int64
-	duties  chivekernel.Duties
+	options Options
+	mu      sync.Mutex
+	// enginePools lists the pools of engines.
+	enginePools []string
+	succeeded   atomic.Int64
+	failed      atomic.Int64
+	goroutines  chivekernel.Duties
 }
 
-// New returns a service that knows no engines yet.
-func New(o Options) *Service {
-	return &Service{o: o}
+// New returns a service without pools.
+func New(options Options) *Service {
+	return &Service{options: options}
 }
 
-// SetTable takes which pools have engines.
+// SetTable applies a new configuration.
 func (s *Service) SetTable(table *chivetable.Table) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.engines = nil
+	s.enginePools = nil
 	for _, p := range table.Pools() {
 		if p.Engine.Slots > 0 {
-			s.engines = append(s.engines, p.Name)
+			s.enginePools = append(s.enginePools, p.Name)
 		}
 	}
 }
 
-// Start begins to ask.
+// Start begins to query engines.
 func (s *Service) Start(ctx context.Context) error {
-	s.duties.Begin(ctx, s.run)
+	s.goroutines.Begin(ctx, s.run)
 	return nil
 }
 
-// Stop ends that.
+// Stop ends the goroutines of the service and waits for them.
 func (s *Service) Stop(context.Context) error {
-	s.duties.End()
+	s.goroutines.End()
 	return nil
 }
 
-// Dump returns how many engines were asked.
+// Dump returns how many queries succeeded and failed.
 func (s *Service) Dump() any {
 	return struct {
 		Learnt int64 `json:"learnt"`
 		Failed int64 `json:"failed"`
-	}{s.learnt.Load(), s.failed.Load()}
+	}{s.succeeded.Load(), s.failed.Load()}
 }
 
 func (s *Service) run(ctx context.Context) {
-	chivekernel.Every(ctx, lookEvery, func(time.Time) {
-		var wait sync.WaitGroup
-		for _, e := range s.next() {
-			wait.Go(func() { s.ask(ctx, e) })
+	chivekernel.Every(ctx, pollInterval, func(time.Time) {
+		var wg sync.WaitGroup
+		for _, e := range s.nextEngines() {
+			wg.Go(func() { s.query(ctx, e) })
 		}
-		wait.Wait()
+		wg.Wait()
 	})
 }
 
-// next returns the engines to ask now.
+// nextEngines returns the engines to query now.
 //
-// Before it knows the fleet a node takes itself for the one that decides for all engines: of 295 nodes that start at once each
-// would ask 320 engines, forty in a second, for what another one decides by.
-func (s *Service) next() (next []chivedirectory.Endpoint) {
-	if !s.o.Owners.Settled() {
+// It returns none until the node knows the fleet, since until then the node takes itself for the owner of all engines:
+// each of 295 nodes that start at the same time would query 320 engines, 40 per second, although other nodes own most
+// of them.
+func (s *Service) nextEngines() (engines []chivedirectory.Endpoint) {
+	if !s.options.Owners.Settled() {
 		return nil
 	}
 	s.mu.Lock()
-	engines := s.engines
+	pools := s.enginePools
 	s.mu.Unlock()
-	for _, name := range engines {
-		pool := s.o.Pools.Pool(name)
+	for _, name := range pools {
+		pool := s.options.Pools.Pool(name)
 		if pool == nil {
 			continue
 		}
 		var owned []string
-		if s.o.Owners.Asking() {
-			if owned = s.o.Owners.Owned(name); len(owned) == 0 {
+		if s.options.Owners.Asking() {
+			if owned = s.options.Owners.Owned(name); len(owned) == 0 {
 				continue
 			}
 		}
-		next = append(next, pool.TakeUnasked(owned, askedMost-len(next))...)
+		engines = append(engines, pool.TakeUnasked(owned, maxConcurrentQueries-len(engines))...)
 	}
-	return next
+	return engines
 }
 
-// ask asks one engine. When it does not answer the node goes on without: what it sends there teaches it the same, more slowly.
-func (s *Service) ask(ctx context.Context, e chivedirectory.Endpoint) {
-	limited, cancel := context.WithTimeout(ctx, askWithin)
+// query queries one engine. If that fails, the node learns the cache contents more slowly from the requests that it
+// sends to the engine.
+func (s *Service) query(ctx context.Context, e chivedirectory.Endpoint) {
+	queryCtx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	began := time.Now()
-	parts, err := s.o.Caches.Held(limited, e)
+	start := time.Now()
+	parts, err := s.options.Caches.Held(queryCtx, e)
 	if err != nil {
 		s.failed.Add(1)
-		chiveevent.CacheUnknown.Log(ctx, s.o.Logger, slog.String("endpoint", e.ID), slog.String("error", err.Error()))
+		chiveevent.CacheUnknown.Log(ctx, s.options.Logger, slog.String("endpoint", e.ID), slog.String("error", err.Error()))
 		return
 	}
-	pool := s.o.Pools.Pool(e.Pool)
+	pool := s.options.Pools.Pool(e.Pool)
 	if pool == nil {
 		return
 	}
 	tokens := pool.Reconcile(e.Incarnation().Key(), parts)
-	s.learnt.Add(1)
-	chiveevent.CacheLearnt.Log(ctx, s.o.Logger, slog.String("endpoint", e.ID), slog.Int("parts", len(parts)), slog.Int64("tokens", tokens),
-		slog.Int64("took_ms", time.Since(began).Milliseconds()))
+	s.succeeded.Add(1)
+	chiveevent.CacheLearnt.Log(ctx, s.options.Logger, slog.String("endpoint", e.ID), slog.Int("parts", len(parts)), slog.Int64("tokens", tokens),
+		slog.Int64("took_ms", time.Since(start).Milliseconds()))
 }
--- a/chivecache/service_test.go
+++ b/chivecache/service_test.go
@@ -18,52 +18,53 @@
 	"chivedrift/chivetable"
 )
 
-// engines counts the questions for caches.
-type engines struct {
-	mu    sync.Mutex
-	asked int
-	pool  *chiveplace.Pool
+// countingCaches implements chivecache.Caches and chivecache.Pools and counts the queries.
+type countingCaches struct {
+	mu      sync.Mutex
+	queries int
+	pool    *chiveplace.Pool
 }
 
-func (e *engines) Held(context.Context, chivedirectory.Endpoint) ([]chiverequest.Part, error) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.asked++
+func (c *countingCaches) Held(context.Context, chivedirectory.Endpoint) ([]chiverequest.Part, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.queries++
 	return nil, nil
 }
 
-func (e *engines) count() int {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.asked
+func (c *countingCaches) count() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.queries
 }
 
-func (e *engines) Pool(string) *chiveplace.Pool { return e.pool }
+func (c *countingCaches) Pool(string) *chiveplace.Pool { return c.pool }
 
-// joining is a node that comes to know a large fleet a while after its start, and owns a share of its engines then.
-type joining struct {
-	began time.Time
-	knows time.Duration
-	share int
+// joiningNode implements chivecache.Owners for a node that knows a large fleet some time after its start and then owns
+// a part of the engines.
+type joiningNode struct {
+	startedAt  time.Time
+	settleTime time.Duration
+	ownedCount int
 }
 
-func (j joining) Settled() bool { return time.Since(j.began) > j.knows }
+func (j joiningNode) Settled() bool { return time.Since(j.startedAt) > j.settleTime }
 
-func (j joining) Asking() bool { return j.Settled() }
+func (j joiningNode) Asking() bool { return j.Settled() }
 
-func (j joining) Owned(string) (owned []string) {
-	for i := range j.share {
+func (j joiningNode) Owned(string) (owned []string) {
+	for i := range j.ownedCount {
 		owned = append(owned, fmt.Sprintf("i-%03d", i))
 	}
 	return owned
 }
 
 // Guards against a cold start in which every node queries the cache of every engine.
-func TestNodeThatJoinsALargeFleetAsksItsOwnEnginesOnly(t *testing.T) {
+func TestJoiningNodeQueriesOnlyOwnedEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		asked := &engines{pool: chiveplace.NewPool("a")}
+		caches := &countingCaches{pool: chiveplace.NewPool("a")}
 		s := chivecache.New(chivecache.Options{
-			Caches: asked, Pools: asked, Owners: joining{time.Now(), 600 * time.Millisecond, 9}, Logger: slog.New(slog.DiscardHandler),
+			Caches: caches, Pools: caches, Owners: joiningNode{time.Now(), 600 * time.Millisecond, 9}, Logger: slog.New(slog.DiscardHandler),
 		})
 		table, err := chivetable.New(chivetable.Spec{Version: 1, Pools: []chivetable.Pool{{Name: "pool", Engine: chivetable.Engine{Slots: 32}}}})
 		if err != nil {
@@ -74,14 +75,14 @@
 		for i := range 320 {
 			endpoints = append(endpoints, chivedirectory.Endpoint{ID: fmt.Sprintf("i-%03d", i), Pool: "pool", Address: "10.0.0.1:1", State: chivedirectory.Ready})
 		}
-		asked.pool.ApplyEndpoints(chivedirectory.Diff{Changed: endpoints})
+		caches.pool.ApplyEndpoints(chivedirectory.Diff{Changed: endpoints})
 		if err := s.Start(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		defer s.Stop(t.Context())
 		time.Sleep(2 * time.Second)
-		if n := asked.count(); n != 9 {
-			t.Errorf("%d engines were asked, expected the 9 that the node decides for", n)
+		if n := caches.count(); n != 9 {
+			t.Errorf("%d engines were queried, want the 9 that the node owns", n)
 		}
 	})
 }
