--- a/chiveengine/engine.go
+++ b/chiveengine/engine.go
@@ -9,130 +9,130 @@
 	"chivedrift/chivetime"
 )
 
-// Job is one request for an engine.
+// Job is one request to an engine.
 type Job struct {
 	ID uint64
-	// Rank decides what is read and admitted first; 0 is the most urgent.
+	// Rank is the priority for admission and prefill; 0 is the most urgent.
 	Rank   int
 	Parts  []chiverequest.Part
 	Input  int64
 	Output int64
 
-	arrived  int64
-	unread   int64
-	before   int64
-	produced int64
-	running  bool
+	arrival        int64
+	pendingPrefill int64
+	computed       int64
+	generated      int64
+	running        bool
 }
 
-// Sign tells what an engine reports of a job.
+// Sign is the kind of a report.
 type Sign uint8
 
 const (
-	// SignEvent is an event of the answer.
+	// SignEvent reports an event of the response.
 	SignEvent Sign = iota
-	// SignDone is the last event of the answer.
+	// SignDone reports the last event of the response.
 	SignDone
 )
 
-// Report is one sign of a job.
+// Report is an output event of a job.
 type Report struct {
 	At   time.Time
 	Job  uint64
 	Sign Sign
-	// First tells that it is the job's first event.
+	// First marks the job's first event.
 	First bool
 }
 
-// Counts are what an engine did since its start.
+// Counts are totals since the start of the engine.
 type Counts struct {
-	// Read is the number of prompt tokens that were read, Kept those that needed not be.
+	// Read is the number of prefilled tokens, Kept the number of prompt tokens found in the cache.
 	Read      int64
 	Kept      int64
 	Preempted int64
 }
 
-// Engine is one model engine. Its callers drive it: after each call Next tells when Advance is due.
+// Engine is one simulated model engine. The caller drives it: after each call, Next returns when Advance is due.
 type Engine struct {
-	traits  Traits
-	memory  *memory
+	config  Traits
+	cache   *kvCache
 	waiting []*Job
 	running []*Job
-	// arrivals numbers the jobs in the order in which they came.
-	arrivals int64
-	ends     time.Time
-	stepping bool
-	reading  []share
-	counts   Counts
+	// lastArrival is the number of the last submitted job; jobs are numbered in order of arrival.
+	lastArrival int64
+	stepEnd     time.Time
+	stepping    bool
+	prefills    []prefillChunk
+	counts      Counts
 }
 
-// share is what one step reads of one job.
-type share struct {
+// prefillChunk is the part of one step that prefills one job.
+type prefillChunk struct {
 	job    *Job
 	tokens int64
 }
 
 // New returns an idle engine.
-func New(traits Traits) *Engine {
-	return &Engine{traits: traits, memory: newMemory(traits.Memory)}
+func New(config Traits) *Engine {
+	return &Engine{config: config, cache: newKVCache(config.Memory)}
 }
 
-// Counts returns what the engine did since its start.
+// Counts returns the totals since the start of the engine.
 func (e *Engine) Counts() Counts { return e.counts }
 
-// Load returns how many jobs run and how many wait.
+// Load returns the numbers of running and waiting jobs.
 func (e *Engine) Load() (running, waiting int) { return len(e.running), len(e.waiting) }
 
-// Held returns how many leading tokens of a row of parts need not be read.
-func (e *Engine) Held(parts []chiverequest.Part) int64 { return e.memory.held(parts) }
+// Held returns how many leading tokens of a prompt are cached.
+func (e *Engine) Held(parts []chiverequest.Part) int64 { return e.cache.cachedTokens(parts) }
 
-// Adopt takes the first tokens of a row of parts from another engine, as far as there is room.
-func (e *Engine) Adopt(parts []chiverequest.Part, tokens int64) { e.memory.adopt(parts, tokens) }
+// Adopt caches the leading tokens of a prompt as fetched from another engine, as far as there is room.
+func (e *Engine) Adopt(parts []chiverequest.Part, tokens int64) { e.cache.importPrefix(parts, tokens) }
 
-// Unread returns the prompt tokens of jobs up to a rank that are not read yet.
+// Unread returns the number of tokens still to be prefilled for jobs up to a rank.
 func (e *Engine) Unread(rank int) (tokens int64) {
 	for _, j := range e.running {
 		if j.Rank <= rank {
-			tokens += j.unread
+			tokens += j.pendingPrefill
 		}
 	}
 	for _, j := range e.waiting {
 		if j.Rank <= rank {
-			tokens += j.Input - e.memory.held(j.Parts)
+			tokens += j.Input - e.cache.cachedTokens(j.Parts)
 		}
 	}
 	return tokens
 }
 
-// SetSpeed changes the factor on every time from the next step on.
-func (e *Engine) SetSpeed(factor float64) { e.traits.Speed = factor }
+// SetSpeed sets the factor by which all times are multiplied, from the next step on.
+func (e *Engine) SetSpeed(factor float64) { e.config.Speed = factor }
 
-// Speed returns the factor on every time.
-func (e *Engine) Speed() float64 { return e.traits.Speed }
+// Speed returns the factor by which all times are multiplied.
+func (e *Engine) Speed() float64 { return e.config.Speed }
 
-// Submit takes a job; it reports false when the engine is full.
+// Submit adds a job. It returns false if the queue is full or the job is larger than the memory.
 func (e *Engine) Submit(now time.Time, job *Job) bool {
-	if len(e.waiting) >= e.traits.Queue || job.Input+job.Output > e.traits.Memory {
+	if len(e.waiting) >= e.config.Queue || job.Input+job.Output > e.config.Memory {
 		return false
 	}
-	e.arrivals++
-	job.arrived = e.arrivals
-	e.wait(job)
-	e.begin(now)
+	e.lastArrival++
+	job.arrival = e.lastArrival
+	e.enqueue(job)
+	e.startStep(now)
 	return true
 }
 
-// wait puts a job into the queue: the urgent first, then in the order in which they came.
-func (e *Engine) wait(job *Job) {
-	at, _ := slices.BinarySearchFunc(e.waiting, job, byUrgency)
-	e.waiting = slices.Insert(e.waiting, at, job)
+// enqueue adds a job to the queue, which is ordered by rank and then by arrival.
+func (e *Engine) enqueue(job *Job) {
+	index, _ := slices.BinarySearchFunc(e.waiting, job, byRank)
+	e.waiting = slices.Insert(e.waiting, index, job)
 }
 
-func byUrgency(a, b *Job) int {
-	return cmp.Or(cmp.Compare(a.Rank, b.Rank), cmp.Compare(a.arrived, b.arrived))
+func byRank(a, b *Job) int {
+	return cmp.Or(cmp.Compare(a.Rank, b.Rank), cmp.Compare(a.arrival, b.arrival))
 }
 
-// Cancel drops a job.
+// Cancel removes a job.
 func (e *Engine) Cancel(id uint64) {
 	e.waiting = slices.DeleteFunc(e.waiting, func(j *Job) bool { return j.ID == id })
 	for i, j := range e.running {
@@ -144,56 +144,56 @@
 	}
 }
 
-// release gives back a job's memory; what it read stays as long as there is room.
+// release frees the memory of a job. The parts that it has computed stay cached until they are evicted.
 func (e *Engine) release(j *Job) {
 	j.running = false
-	e.memory.used -= j.produced
-	e.memory.unlock(j.Parts)
-	if j.unread > 0 {
-		e.memory.drop(j.Parts, j.Input-j.unread)
+	e.cache.used -= j.generated
+	e.cache.unpin(j.Parts)
+	if j.pendingPrefill > 0 {
+		e.cache.dropUncomputed(j.Parts, j.Input-j.pendingPrefill)
 	}
 }
 
-// Next returns when the step under way ends; ok is false when the engine is idle.
-func (e *Engine) Next() (at time.Time, ok bool) { return e.ends, e.stepping }
+// Next returns when the current step ends; ok is false if the engine is idle.
+func (e *Engine) Next() (at time.Time, ok bool) { return e.stepEnd, e.stepping }
 
-// Advance ends the step under way and begins the next one.
+// Advance ends the current step if it is due, starts the next one and returns the reports of the ended step.
 func (e *Engine) Advance(now time.Time) []Report {
-	if !e.stepping || now.Before(e.ends) {
+	if !e.stepping || now.Before(e.stepEnd) {
 		return nil
 	}
 	e.stepping = false
-	for _, s := range e.reading {
-		s.job.unread -= s.tokens
-		s.job.before += s.tokens
-		e.memory.read(s.job.Parts, s.job.before)
+	for _, chunk := range e.prefills {
+		chunk.job.pendingPrefill -= chunk.tokens
+		chunk.job.computed += chunk.tokens
+		e.cache.markComputed(chunk.job.Parts, chunk.job.computed)
 	}
-	reports := e.produce(now)
-	e.begin(now)
+	reports := e.decode(now)
+	e.startStep(now)
 	return reports
 }
 
-// produce gives every job whose prompt is read its next token.
-func (e *Engine) produce(now time.Time) (reports []Report) {
+// decode generates the next token of every job whose prefill is complete.
+func (e *Engine) decode(now time.Time) (reports []Report) {
 	for _, j := range slices.Clone(e.running) {
-		if !j.running || j.unread > 0 {
+		if !j.running || j.pendingPrefill > 0 {
 			continue
 		}
-		if !e.room(j) {
+		if !e.allocateToken(j) {
 			continue
 		}
-		j.produced++
-		done := j.produced >= j.Output
-		if !done && j.produced%e.traits.TokensPerEvent != 0 {
+		j.generated++
+		done := j.generated >= j.Output
+		if !done && j.generated%e.config.TokensPerEvent != 0 {
 			continue
 		}
-		r := Report{At: now, Job: j.ID, First: j.produced <= e.traits.TokensPerEvent}
+		r := Report{At: now, Job: j.ID, First: j.generated <= e.config.TokensPerEvent}
 		if r.First {
-			r.At = now.Add(chivetime.Milliseconds(e.traits.First * e.traits.Speed))
+			r.At = now.Add(chivetime.Milliseconds(e.config.First * e.config.Speed))
 		}
 		if done {
 			r.Sign = SignDone
-			e.running = slices.DeleteFunc(e.running, func(o *Job) bool { return o == j })
+			e.running = slices.DeleteFunc(e.running, func(other *Job) bool { return other == j })
 			e.release(j)
 		}
 		reports = append(reports, r)
@@ -201,10 +201,11 @@
 	return reports
 }
 
-// room makes room for one more token, by putting the newest of the least urgent back into the queue where parts do not suffice.
-func (e *Engine) room(j *Job) bool {
-	for !e.memory.grow(1) {
-		victim := slices.MaxFunc(e.running, byUrgency)
+// allocateToken allocates memory for one more token of a job. If evicting cached parts does not free enough, it
+// preempts running jobs, starting with the last arrived of the least urgent.
+func (e *Engine) allocateToken(j *Job) bool {
+	for !e.cache.allocate(1) {
+		victim := slices.MaxFunc(e.running, byRank)
 		e.preempt(victim)
 		if victim == j {
 			return false
@@ -213,16 +214,16 @@
 	return true
 }
 
-// preempt puts a running job back into the queue; it reads everything again.
+// preempt moves a running job back to the queue. When it is admitted again, it prefills what is no longer cached.
 func (e *Engine) preempt(j *Job) {
 	e.counts.Preempted++
-	e.running = slices.DeleteFunc(e.running, func(o *Job) bool { return o == j })
+	e.running = slices.DeleteFunc(e.running, func(other *Job) bool { return other == j })
 	e.release(j)
-	e.wait(j)
+	e.enqueue(j)
 }
 
-// begin admits jobs and starts a step where there is anything to do.
-func (e *Engine) begin(now time.Time) {
+// startStep admits jobs and starts a step if any job runs.
+func (e *Engine) startStep(now time.Time) {
 	if e.stepping {
 		return
 	}
@@ -230,45 +231,45 @@
 	if len(e.running) == 0 {
 		return
 	}
-	s := e.compose()
+	s := e.planStep()
 	e.stepping = true
-	e.ends = now.Add(chivetime.Milliseconds(e.traits.stepTime(s)))
+	e.stepEnd = now.Add(chivetime.Milliseconds(e.config.stepMilliseconds(s)))
 }
 
-// admit lets jobs run while there are slots and memory.
+// admit moves waiting jobs to the running ones while there are free slots and memory.
 func (e *Engine) admit() {
-	for len(e.waiting) > 0 && len(e.running) < e.traits.Slots {
+	for len(e.waiting) > 0 && len(e.running) < e.config.Slots {
 		j := e.waiting[0]
-		held, ok := e.memory.lock(j.Parts)
+		cached, ok := e.cache.pin(j.Parts)
 		if !ok {
 			return
 		}
 		e.waiting = e.waiting[1:]
-		// What was produced before a preemption is read again with the prompt.
-		j.unread, j.before, j.running = j.Input-held+j.produced, held, true
-		e.memory.used += j.produced
-		e.counts.Kept += held
+		// Tokens generated before a preemption are prefilled again together with the prompt.
+		j.pendingPrefill, j.computed, j.running = j.Input-cached+j.generated, cached, true
+		e.cache.used += j.generated
+		e.counts.Kept += cached
 		e.running = append(e.running, j)
 	}
 }
 
-// compose decides what the next step reads.
-func (e *Engine) compose() (s step) {
-	e.reading = e.reading[:0]
+// planStep selects the tokens that the next step prefills.
+func (e *Engine) planStep() (s step) {
+	e.prefills = e.prefills[:0]
 	s.running = len(e.running)
-	left := e.traits.ReadChunk
-	slices.SortFunc(e.running, byUrgency)
+	remaining := e.config.ReadChunk
+	slices.SortFunc(e.running, byRank)
 	for _, j := range e.running {
-		s.context += j.before + j.produced
-		take := min(j.unread, left)
-		if take == 0 {
+		s.contextTokens += j.computed + j.generated
+		tokens := min(j.pendingPrefill, remaining)
+		if tokens == 0 {
 			continue
 		}
-		left -= take
-		s.reads += take
-		s.pairs += float64(take) * (float64(j.before) + float64(take)/2)
-		e.reading = append(e.reading, share{j, take})
+		remaining -= tokens
+		s.prefillTokens += tokens
+		s.attentionPairs += float64(tokens) * (float64(j.computed) + float64(tokens)/2)
+		e.prefills = append(e.prefills, prefillChunk{j, tokens})
 	}
-	e.counts.Read += s.reads
+	e.counts.Read += s.prefillTokens
 	return s
 }
--- a/chiveengine/memory.go
+++ b/chiveengine/memory.go
@@ -6,32 +6,32 @@
 	"chivedrift/chiverequest"
 )
 
-// memory holds the parts that an engine has read, those of running requests locked, and what running requests produced. The
-// least recently used parts that are not locked yield first.
-type memory struct {
-	room  int64
-	used  int64
-	order *list.List
-	parts map[uint64]*list.Element
+// kvCache accounts for the memory of an engine: the prompt parts, of which those of running requests are pinned, and
+// the tokens that running requests have generated. The least recently used parts that are not pinned are evicted first.
+type kvCache struct {
+	capacity int64
+	used     int64
+	lru      *list.List
+	parts    map[uint64]*list.Element
 }
 
-type heldPart struct {
+type cachedPart struct {
 	id     uint64
 	tokens int64
-	locks  int
-	// ready tells that some request has read the part to its end.
-	ready bool
+	pins   int
+	// computed is set once a request has prefilled the whole part.
+	computed bool
 }
 
-func newMemory(room int64) *memory {
-	return &memory{room: room, order: list.New(), parts: make(map[uint64]*list.Element)}
+func newKVCache(capacity int64) *kvCache {
+	return &kvCache{capacity: capacity, lru: list.New(), parts: make(map[uint64]*list.Element)}
 }
 
-// held returns how many leading tokens of a row of parts are there.
-func (m *memory) held(parts []chiverequest.Part) (tokens int64) {
+// cachedTokens returns how many leading tokens of a prompt are cached.
+func (c *kvCache) cachedTokens(parts []chiverequest.Part) (tokens int64) {
 	for _, p := range parts {
-		e := m.parts[p.ID]
-		if e == nil || !partOf(e).ready {
+		e := c.parts[p.ID]
+		if e == nil || !partOf(e).computed {
 			return tokens
 		}
 		tokens += p.Tokens
@@ -39,110 +39,111 @@
 	return tokens
 }
 
-// read notes that a request has read its prompt up to a token.
-func (m *memory) read(parts []chiverequest.Part, upTo int64) {
+// markComputed marks the parts within the first computed tokens of a prompt.
+func (c *kvCache) markComputed(parts []chiverequest.Part, computed int64) {
 	end := int64(0)
 	for _, p := range parts {
 		end += p.Tokens
-		if e := m.parts[p.ID]; e != nil && end <= upTo {
-			partOf(e).ready = true
+		if e := c.parts[p.ID]; e != nil && end <= computed {
+			partOf(e).computed = true
 		}
 	}
 }
 
-func partOf(e *list.Element) *heldPart {
-	return e.Value.(*heldPart) //nolint:forcetypeassert // the list holds nothing else
+func partOf(e *list.Element) *cachedPart {
+	return e.Value.(*cachedPart) //nolint:forcetypeassert // the list holds nothing else
 }
 
-// adopt takes the first tokens of a row of parts from another engine, as far as there is room.
-func (m *memory) adopt(parts []chiverequest.Part, tokens int64) {
+// importPrefix caches the parts within the leading tokens of a prompt as fetched from another engine, as far as there
+// is room.
+func (c *kvCache) importPrefix(parts []chiverequest.Part, tokens int64) {
 	for _, p := range parts {
 		if tokens -= p.Tokens; tokens < 0 {
 			return
 		}
-		if e := m.parts[p.ID]; e != nil {
-			partOf(e).ready = true
+		if e := c.parts[p.ID]; e != nil {
+			partOf(e).computed = true
 			continue
 		}
-		m.parts[p.ID] = m.order.PushFront(&heldPart{id: p.ID, tokens: p.Tokens, ready: true})
-		m.used += p.Tokens
-		if m.used > m.room && !m.yield() {
+		c.parts[p.ID] = c.lru.PushFront(&cachedPart{id: p.ID, tokens: p.Tokens, computed: true})
+		c.used += p.Tokens
+		if c.used > c.capacity && !c.evict() {
 			return
 		}
 	}
 }
 
-// lock makes sure that parts stay, and returns how many leading tokens of them were there already. The others take their room at
-// once; ok is false, and nothing changed, where there is none.
-func (m *memory) lock(parts []chiverequest.Part) (held int64, ok bool) {
-	held = m.held(parts)
+// pin keeps the parts of a prompt from being evicted, allocates memory for those that are not cached, and returns how
+// many leading tokens were cached already. If the memory does not suffice, ok is false and no part is pinned.
+func (c *kvCache) pin(parts []chiverequest.Part) (cached int64, ok bool) {
+	cached = c.cachedTokens(parts)
 	for _, p := range parts {
-		m.lockPart(p)
+		c.pinPart(p)
 	}
-	if m.used <= m.room || m.yield() {
-		return held, true
+	if c.used <= c.capacity || c.evict() {
+		return cached, true
 	}
-	m.unlock(parts)
-	m.drop(parts, held)
+	c.unpin(parts)
+	c.dropUncomputed(parts, cached)
 	return 0, false
 }
 
-func (m *memory) lockPart(p chiverequest.Part) {
-	if e := m.parts[p.ID]; e != nil {
-		partOf(e).locks++
-		m.order.MoveToFront(e)
+func (c *kvCache) pinPart(p chiverequest.Part) {
+	if e := c.parts[p.ID]; e != nil {
+		partOf(e).pins++
+		c.lru.MoveToFront(e)
 		return
 	}
-	m.parts[p.ID] = m.order.PushFront(&heldPart{id: p.ID, tokens: p.Tokens, locks: 1})
-	m.used += p.Tokens
+	c.parts[p.ID] = c.lru.PushFront(&cachedPart{id: p.ID, tokens: p.Tokens, pins: 1})
+	c.used += p.Tokens
 }
 
-// unlock lets parts yield again.
-func (m *memory) unlock(parts []chiverequest.Part) {
+// unpin allows the parts of a prompt to be evicted again, unless another request has pinned them.
+func (c *kvCache) unpin(parts []chiverequest.Part) {
 	for _, p := range parts {
-		if e := m.parts[p.ID]; e != nil {
-			partOf(e).locks--
+		if e := c.parts[p.ID]; e != nil {
+			partOf(e).pins--
 		}
 	}
 }
 
-// drop removes the parts after the first tokens that nobody has locked: they were never read.
-func (m *memory) drop(parts []chiverequest.Part, after int64) {
-	before := int64(0)
+// dropUncomputed removes the parts after the first keep tokens of a prompt that were never computed and are not pinned.
+func (c *kvCache) dropUncomputed(parts []chiverequest.Part, keep int64) {
+	start := int64(0)
 	for _, p := range parts {
-		if e := m.parts[p.ID]; e != nil && before >= after {
-			if part := partOf(e); part.locks == 0 && !part.ready {
-				m.remove(e, part)
+		if e := c.parts[p.ID]; e != nil && start >= keep {
+			if part := partOf(e); part.pins == 0 && !part.computed {
+				c.remove(e, part)
 			}
 		}
-		before += p.Tokens
+		start += p.Tokens
 	}
 }
 
-func (m *memory) remove(e *list.Element, part *heldPart) {
-	m.order.Remove(e)
-	delete(m.parts, part.id)
-	m.used -= part.tokens
+func (c *kvCache) remove(e *list.Element, part *cachedPart) {
+	c.lru.Remove(e)
+	delete(c.parts, part.id)
+	c.used -= part.tokens
 }
 
-// grow takes room for tokens that a request produces.
-func (m *memory) grow(tokens int64) bool {
-	m.used += tokens
-	if m.used <= m.room || m.yield() {
+// allocate takes memory for generated tokens and reports whether there was enough.
+func (c *kvCache) allocate(tokens int64) bool {
+	c.used += tokens
+	if c.used <= c.capacity || c.evict() {
 		return true
 	}
-	m.used -= tokens
+	c.used -= tokens
 	return false
 }
 
-// yield drops parts that are not locked until everything fits.
-func (m *memory) yield() bool {
-	for e := m.order.Back(); e != nil && m.used > m.room; {
-		before := e.Prev()
-		if part := partOf(e); part.locks == 0 {
-			m.remove(e, part)
+// evict removes parts that are not pinned until the memory in use is within the capacity, and reports whether it is.
+func (c *kvCache) evict() bool {
+	for e := c.lru.Back(); e != nil && c.used > c.capacity; {
+		previous := e.Prev()
+		if part := partOf(e); part.pins == 0 {
+			c.remove(e, part)
 		}
-		e = before
+		e = previous
 	}
-	return m.used <= m.room
+	return c.used <= c.capacity
 }
