--- a/chivegrant/ask.go
+++ b/chivegrant/ask.go
@@ -87,16 +87,16 @@
 }
 
 // placeIn places the request in a group through its owner, which may be this node.
-func (p *placement) placeIn(ctx context.Context, group groupID, maxLoss float64, maxReads int64) (*chiveplace.Place, error) {
+func (p *placement) placeIn(ctx context.Context, group groupID, maxLoss float64, recomputeTokens int64) (*chiveplace.Place, error) {
 	s := p.service
 	owner := p.assignment.owners[group]
 	if owner == s.options.Mesh.Self() {
 		return p.pool.Take(time.Now(), chiveplace.Ask{
-			Prompt: p.request.Prompt, Exclude: p.exclude, Among: p.assignment.engines(group), Domains: p.domains, Most: maxLoss, MostReads: maxReads,
+			Prompt: p.request.Prompt, Exclude: p.exclude, Among: p.assignment.engines(group), Domains: p.domains, Most: maxLoss, MostReads: recomputeTokens,
 		})
 	}
 	request := newPlacementRequest(p.request.Pool, group.String(), p.request.Prompt)
-	request.Exclude, request.Domains, request.Most, request.MostReads = p.exclude, p.domains.Names(), maxLoss, maxReads
+	request.Exclude, request.Domains, request.Most, request.MostReads = p.exclude, p.domains.Names(), maxLoss, recomputeTokens
 	response, err := s.requestPlacement(ctx, owner, request)
 	if err != nil {
 		return nil, err
