--- a/chiveplace/cache.go
+++ b/chiveplace/cache.go
@@ -7,35 +7,38 @@
 	"chivedrift/chiverequest"
 )
 
-// cacheShare is how much of an engine's memory is assumed to hold cached parts; the rest belongs to running requests.
+// cacheShare is the share of an engine's memory that is assumed to hold cached prompt parts; running requests use the
+// rest.
 const cacheShare = 0.7
 
-// cache is this node's belief of which parts an engine holds, the least recently used falling out first.
-type cache struct {
-	room  int64
-	used  int64
-	order *list.List
-	parts map[uint64]*list.Element
+// cacheModel is this node's model of the prompt parts that an engine has cached, with least recently used eviction.
+type cacheModel struct {
+	capacity int64
+	used     int64
+	lru      *list.List
+	parts    map[uint64]*list.Element
 }
 
-// cachedPart is a part that an engine holds, or will hold once it has read it.
+// cachedPart is a part that an engine has cached, or will have once it has prefilled it.
 type cachedPart struct {
 	chiverequest.Part
-	// read is when the engine is believed to have read it.
-	read time.Time
+	// availableAt is when the engine is expected to have prefilled the part.
+	availableAt time.Time
 }
 
-func newCache(engineTokens int64) *cache {
-	c := &cache{order: list.New(), parts: make(map[uint64]*list.Element)}
-	c.setRoom(engineTokens)
+func newCacheModel(engineTokens int64) *cacheModel {
+	c := &cacheModel{lru: list.New(), parts: make(map[uint64]*list.Element)}
+	c.setCapacity(engineTokens)
 	return c
 }
 
-// setRoom takes the memory of the engine, which may become known after the engine itself.
-func (c *cache) setRoom(engineTokens int64) { c.room = int64(float64(engineTokens) * cacheShare) }
+// setCapacity sets the memory of the engine, which may become known later than the engine itself.
+func (c *cacheModel) setCapacity(engineTokens int64) {
+	c.capacity = int64(float64(engineTokens) * cacheShare)
+}
 
-// missing returns how many tokens of a prompt the engine has to read anew.
-func (c *cache) missing(p *chiverequest.Prompt) int64 {
+// missingTokens returns how many tokens of a prompt the engine has to prefill.
+func (c *cacheModel) missingTokens(p *chiverequest.Prompt) int64 {
 	missing := p.Input
 	for _, part := range p.Parts {
 		if _, held := c.parts[part.ID]; !held {
@@ -46,14 +49,15 @@
 	return max(missing, 0)
 }
 
-// readBy returns how many leading tokens of a prompt the engine has read by a time, so that another one could fetch them.
-func (c *cache) readBy(now time.Time, p *chiverequest.Prompt) (tokens int64) {
+// availableTokens returns the length of the prefix of a prompt that the engine has prefilled by now, so that another
+// engine can fetch it.
+func (c *cacheModel) availableTokens(now time.Time, p *chiverequest.Prompt) (tokens int64) {
 	for _, part := range p.Parts {
 		e, held := c.parts[part.ID]
 		if !held {
 			return tokens
 		}
-		if known, ok := e.Value.(cachedPart); !ok || known.read.After(now) {
+		if cached, ok := e.Value.(cachedPart); !ok || cached.availableAt.After(now) {
 			return tokens
 		}
 		tokens += part.Tokens
@@ -61,8 +65,8 @@
 	return tokens
 }
 
-// missingOf returns how many tokens of a row of parts the engine has to read anew.
-func (c *cache) missingOf(parts []chiverequest.Part) int64 {
+// missingPartTokens returns how many tokens of consecutive parts the engine has to prefill.
+func (c *cacheModel) missingPartTokens(parts []chiverequest.Part) int64 {
 	missing := int64(0)
 	for _, part := range parts {
 		if _, held := c.parts[part.ID]; !held || missing > 0 {
@@ -72,35 +76,36 @@
 	return missing
 }
 
-// reconcile takes parts that an engine says it holds; those that were seen since are used more recently.
-func (c *cache) reconcile(parts []chiverequest.Part) (tokens int64) {
+// merge adds parts that an engine reports as cached and returns their number of tokens. Parts that requests used since
+// are the more recently used ones.
+func (c *cacheModel) merge(parts []chiverequest.Part) (tokens int64) {
 	for _, part := range parts {
 		tokens += part.Tokens
-		if _, held := c.parts[part.ID]; held || c.used+part.Tokens > c.room {
+		if _, held := c.parts[part.ID]; held || c.used+part.Tokens > c.capacity {
 			continue
 		}
-		c.parts[part.ID] = c.order.PushBack(cachedPart{Part: part})
+		c.parts[part.ID] = c.lru.PushBack(cachedPart{Part: part})
 		c.used += part.Tokens
 	}
 	return tokens
 }
 
-// isFull reports whether so many more tokens take the place of others.
-func (c *cache) isFull(tokens int64) bool { return c.used+tokens > c.room }
+// wouldEvict reports whether caching this many more tokens evicts others.
+func (c *cacheModel) wouldEvict(tokens int64) bool { return c.used+tokens > c.capacity }
 
-// touch notes that the engine uses parts, and will have read those that it lacks at a time.
-func (c *cache) touch(parts []chiverequest.Part, read time.Time) {
+// touch marks parts as used; those that the engine lacks become available at the given time.
+func (c *cacheModel) touch(parts []chiverequest.Part, availableAt time.Time) {
 	for _, part := range parts {
 		if e, held := c.parts[part.ID]; held {
-			c.order.MoveToFront(e)
+			c.lru.MoveToFront(e)
 			continue
 		}
-		c.parts[part.ID] = c.order.PushFront(cachedPart{part, read})
+		c.parts[part.ID] = c.lru.PushFront(cachedPart{part, availableAt})
 		c.used += part.Tokens
 	}
-	for c.used > c.room && c.order.Len() > 0 {
-		last := c.order.Back()
-		part, ok := c.order.Remove(last).(cachedPart)
+	for c.used > c.capacity && c.lru.Len() > 0 {
+		last := c.lru.Back()
+		part, ok := c.lru.Remove(last).(cachedPart)
 		if !ok {
 			return
 		}
--- a/chiveplace/candidate.go
+++ b/chiveplace/candidate.go
@@ -8,182 +8,189 @@
 )
 
 const (
-	// passOverFirst is how long an endpoint is passed over after a broken connection; it doubles with each further
-	// one up to passOverMost. A crashed process is back, or its entry gone, within a few seconds.
-	passOverFirst = 300 * time.Millisecond
-	passOverMost  = 4 * time.Second
-	// fullFor is how long an endpoint that refused for lack of room is passed over: a few of its steps.
-	fullFor = 100 * time.Millisecond
-	// errorMemory is the weight of the newest answer in the running share of errors.
-	errorMemory = 0.08
-	// tookMemory is the weight of the newest answer in the running time to an answer.
-	tookMemory = 0.2
-	// forgetTook is the half-life after which an endpoint's slowness is half forgotten, so that it is tried again.
-	forgetTook = 3 * time.Second
+	// baseEjection is how long an endpoint is ejected after a broken connection. It doubles with each consecutive
+	// failure, up to maxEjection: a crashed process has restarted, or its directory entry is gone, within a few
+	// seconds.
+	baseEjection = 300 * time.Millisecond
+	maxEjection  = 4 * time.Second
+	// fullEjection is how long an endpoint is ejected after it refused a request for lack of capacity: a few engine
+	// steps.
+	fullEjection = 100 * time.Millisecond
+	// errorRateWeight is the weight of the newest answer in the moving average of the error rate.
+	errorRateWeight = 0.08
+	// responseTimeWeight is the weight of the newest answer in the moving average of the response time.
+	responseTimeWeight = 0.2
+	// responseTimeHalfLife is the age at which a response time counts half, so that an endpoint that was slow is tried
+	// again.
+	responseTimeHalfLife = 3 * time.Second
 )
 
-// candidate is one incarnation of an endpoint.
+// candidate is one incarnation of an endpoint: one start of its process.
 type candidate struct {
 	endpoint chivedirectory.Endpoint
-	// incarnation names the start of the endpoint's process that the record is of.
+	// incarnation is the key of the incarnation that the record belongs to.
 	incarnation string
-	// hash is that of the endpoint's id, which stays with the next start: what it is to hold is drawn by it.
-	hash uint64
-	// started means that the endpoint started while this node was running, so that its cache was empty then.
-	started bool
-	// asked means that the endpoint was asked what its cache holds.
-	asked bool
-	// warming is nil for an endpoint that does not warm up.
-	warming *warming
-	// The record is that of the pool for endpoints without requests until the first request or report: most nodes of a large fleet never have
-	// to do with most endpoints.
+	// idHash is the hash of the endpoint's id. Unlike the incarnation it survives a restart, so that the home of a
+	// prompt part does not move.
+	idHash uint64
+	// startedEmpty means that the endpoint started while this node was running, so that its cache was empty then.
+	startedEmpty bool
+	// cacheQueried means that the endpoint was returned by TakeUnasked to be asked for its cache contents.
+	cacheQueried bool
+	// warmUp is nil for an endpoint that is not warming up.
+	warmUp *warmUpState
+	// record is the pool's emptyRecord until the first request or report for this endpoint: in a large fleet most nodes
+	// never use most endpoints.
 	*record
 }
 
-// record is what one node knows of a candidate by its own requests and by the reports of other nodes.
+// record is what this node knows about a candidate from its own requests and from the reports of other nodes.
 type record struct {
-	// removed is when the endpoint left the directory; zero while it is there.
-	removed time.Time
-	// lastUsed is when the record last came into use.
-	lastUsed time.Time
-	// own and ownWaiting are this node's requests there, and the prompt tokens of those that have not begun to answer.
-	own        int
-	ownWaiting byRank
-	// others and othersWaiting are the same of all other nodes, as last heard.
-	others        int
-	othersWaiting byRank
-	byNode        map[string]Load
-	// Of these, tight are the streams whose pauses a long read beside them spoils, and long the prompt tokens of long reads.
-	ownTight    int
-	othersTight int
-	ownLong     int64
-	othersLong  int64
-	longRead    float64
-	longAt      time.Time
-	// dirty tells that the other nodes have not been told of the last change.
+	// removedAt is when the endpoint left the directory; zero while it is listed.
+	removedAt time.Time
+	// lastUsedAt is when a request or a report last changed the record.
+	lastUsedAt time.Time
+	// ownRequests is the number of this node's requests there, ownQueued the prompt tokens of those without a first
+	// event.
+	ownRequests int
+	ownQueued   tokensByRank
+	// otherRequests and otherQueued are the same for all other nodes, from their latest reports and pending grants.
+	otherRequests int
+	otherQueued   tokensByRank
+	loadByNode    map[string]Load
+	// ownSensitive and otherSensitive are the numbers of latency-sensitive streams, which a long prefill on the same
+	// engine would delay. ownLongQueued and otherLongQueued are the queued tokens of long prefills.
+	ownSensitive      int
+	otherSensitive    int
+	ownLongQueued     int64
+	otherLongQueued   int64
+	longPrefillTokens float64
+	longPrefillAt     time.Time
+	// dirty means that the latest change has not been reported to the other nodes.
 	dirty bool
 
-	failures  int
-	downUntil time.Time
-	errors    float64
-	took      float64
-	tookAt    time.Time
-	cache     *cache
-	demand    demand
-	// slower is the running share of the predicted time to a first event that this engine takes; 0 until one is known.
-	slower float64
-	// pause is the running pause between events of this node's streams there; told is what the other nodes were told of it, and
-	// heard what they tell.
-	pause fading
-	told  time.Duration
-	heard fading
+	consecutiveFailures int
+	ejectedUntil        time.Time
+	errorRate           float64
+	responseTime        float64
+	responseTimeAt      time.Time
+	cache               *cacheModel
+	demand              demand
+	// slowdownRatio is the moving average of actual over predicted TTFT on this engine; 0 before the first event.
+	slowdownRatio float64
+	// ownPause is the moving average of the pause between events of this node's streams there, reportedPause its value
+	// in the last report, otherPause the pause that other nodes report.
+	ownPause      decayingDuration
+	reportedPause time.Duration
+	otherPause    decayingDuration
 }
 
 func newRecord(cacheTokens int64) *record {
-	return &record{cache: newCache(cacheTokens), byNode: make(map[string]Load)}
+	return &record{cache: newCacheModel(cacheTokens), loadByNode: make(map[string]Load)}
 }
 
-// isIdle reports whether nothing is under way at the endpoint and nothing keeps requests from it.
+// isIdle reports whether the endpoint has no requests, is not ejected and has no changes to report.
 func (r *record) isIdle(now time.Time) bool {
-	return r.own == 0 && r.others == 0 && len(r.byNode) == 0 && !r.dirty && now.After(r.downUntil)
+	return r.ownRequests == 0 && r.otherRequests == 0 && len(r.loadByNode) == 0 && !r.dirty && now.After(r.ejectedUntil)
 }
 
-func (s *candidate) load() int { return s.own + s.others }
+func (c *candidate) load() int { return c.ownRequests + c.otherRequests }
 
-// waitingTokens returns the prompt tokens that wait there in all.
-func (s *candidate) waitingTokens() int64 { return s.ownWaiting.total() + s.othersWaiting.total() }
+// queuedTokens returns the number of all prompt tokens queued there.
+func (c *candidate) queuedTokens() int64 { return c.ownQueued.total() + c.otherQueued.total() }
 
-// waitingFor returns the prompt tokens that the engine reads before those of a new request of a rank.
-func (s *candidate) waitingFor(rank chivetable.Rank) int64 {
-	return s.ownWaiting.upTo(rank) + s.othersWaiting.upTo(rank)
+// queuedAhead returns the number of queued prompt tokens that the engine prefills before a new request of the given
+// rank.
+func (c *candidate) queuedAhead(rank chivetable.Rank) int64 {
+	return c.ownQueued.upTo(rank) + c.otherQueued.upTo(rank)
 }
 
-func (s *candidate) tight() int         { return s.ownTight + s.othersTight }
-func (s *candidate) longWaiting() int64 { return s.ownLong + s.othersLong }
+func (c *candidate) sensitiveStreams() int   { return c.ownSensitive + c.otherSensitive }
+func (c *candidate) longQueuedTokens() int64 { return c.ownLongQueued + c.otherLongQueued }
 
-// begin counts what a new request adds.
-func (s *candidate) begin(now time.Time, place *Place) {
-	s.demand.note(now, place.pool.forecast.own(float64(place.reads))*s.speed())
-	if place.tight {
-		s.ownTight++
+// addRequest adds a new request to the demand and the load of the engine.
+func (c *candidate) addRequest(now time.Time, place *Place) {
+	c.demand.addPrompt(now, place.pool.ttft.prefillMs(float64(place.prefillTokens))*c.slowdown())
+	if place.latencySensitive {
+		c.ownSensitive++
 	}
-	s.wait(place)
-	if place.reads > chunkTokens {
-		s.noteLong(now, place.reads)
+	c.addQueued(place)
+	if place.prefillTokens > prefillChunkTokens {
+		c.addLongPrefill(now, place.prefillTokens)
 	}
 }
 
-// wait counts that a request's prompt waits to be read.
-func (s *candidate) wait(place *Place) {
-	s.ownWaiting = s.ownWaiting.add(place.rank, place.reads)
-	if place.reads > chunkTokens {
-		s.ownLong += place.reads
+// addQueued adds the prompt tokens that a request has the engine prefill.
+func (c *candidate) addQueued(place *Place) {
+	c.ownQueued = c.ownQueued.add(place.rank, place.prefillTokens)
+	if place.prefillTokens > prefillChunkTokens {
+		c.ownLongQueued += place.prefillTokens
 	}
-	s.dirty = true
+	c.dirty = true
 }
 
-// read counts that a request's prompt has been read.
-func (s *candidate) read(place *Place) {
-	s.ownWaiting = s.ownWaiting.add(place.rank, -place.reads)
-	if place.reads > chunkTokens {
-		s.ownLong -= place.reads
+// removeQueued removes the tokens added by addQueued, once the prompt has been prefilled.
+func (c *candidate) removeQueued(place *Place) {
+	c.ownQueued = c.ownQueued.add(place.rank, -place.prefillTokens)
+	if place.prefillTokens > prefillChunkTokens {
+		c.ownLongQueued -= place.prefillTokens
 	}
-	s.dirty = true
+	c.dirty = true
 }
 
-// speed returns the factor on predicted times at this engine.
-func (s *candidate) speed() float64 {
-	if s.slower == 0 {
+// slowdown returns the ratio of TTFT on this engine to the prediction; 1 before its first event.
+func (c *candidate) slowdown() float64 {
+	if c.slowdownRatio == 0 {
 		return 1
 	}
-	return s.slower
+	return c.slowdownRatio
 }
 
-// speedMemory is the weight of the newest first event in an engine's speed.
-const speedMemory = 0.1
+// slowdownWeight is the weight of the newest TTFT in the moving average of the slowdown.
+const slowdownWeight = 0.1
 
-// learnSpeed takes a predicted and an actual time to a first event.
-func (s *candidate) learnSpeed(predicted float64, took time.Duration) {
-	seen := min(max(float64(took)/float64(time.Millisecond)/predicted, 0.3), 3)
-	s.slower = s.speed() + speedMemory*(seen-s.speed())
+// updateSlowdown updates the slowdown from a predicted TTFT, in milliseconds, and the actual one.
+func (c *candidate) updateSlowdown(predicted float64, took time.Duration) {
+	ratio := min(max(float64(took)/float64(time.Millisecond)/predicted, 0.3), 3)
+	c.slowdownRatio = c.slowdown() + slowdownWeight*(ratio-c.slowdown())
 }
 
-func (s *candidate) usable(now time.Time) bool {
-	return s.endpoint.State == chivedirectory.Ready && !now.Before(s.downUntil)
+func (c *candidate) isUsable(now time.Time) bool {
+	return c.endpoint.State == chivedirectory.Ready && !now.Before(c.ejectedUntil)
 }
 
-func (s *candidate) failed(now time.Time) {
-	s.downUntil = now.Add(min(passOverFirst<<min(s.failures, 10), passOverMost))
-	s.failures++
-	s.errors += errorMemory * (1 - s.errors)
+func (c *candidate) recordFailure(now time.Time) {
+	c.ejectedUntil = now.Add(min(baseEjection<<min(c.consecutiveFailures, 10), maxEjection))
+	c.consecutiveFailures++
+	c.errorRate += errorRateWeight * (1 - c.errorRate)
 }
 
-func (s *candidate) full(now time.Time) {
-	s.downUntil = now.Add(fullFor)
+func (c *candidate) recordFull(now time.Time) {
+	c.ejectedUntil = now.Add(fullEjection)
 }
 
-// answered notes an answer: whether it was an error of the endpoint's own, and how long it took.
-func (s *candidate) answered(now time.Time, isError bool, took time.Duration) {
-	s.failures = 0
-	share := 0.0
+// recordResponse records an answer: its duration, and whether it was an error of the endpoint.
+func (c *candidate) recordResponse(now time.Time, isError bool, took time.Duration) {
+	c.consecutiveFailures = 0
+	sample := 0.0
 	if isError {
-		share = 1
+		sample = 1
 	}
-	s.errors += errorMemory * (share - s.errors)
-	if s.took == 0 {
-		s.took = took.Seconds()
+	c.errorRate += errorRateWeight * (sample - c.errorRate)
+	if c.responseTime == 0 {
+		c.responseTime = took.Seconds()
 	} else {
-		s.took += tookMemory * (took.Seconds() - s.took)
+		c.responseTime += responseTimeWeight * (took.Seconds() - c.responseTime)
 	}
-	s.tookAt = now
+	c.responseTimeAt = now
 }
 
-// slowness is the running time to an answer, which fades towards the pool's usual time.
-func (s *candidate) slowness(now time.Time, usual float64) float64 {
-	if s.took == 0 {
-		return usual
+// expectedResponseTime returns the moving average of the response time in seconds, which decays towards defaultTime.
+func (c *candidate) expectedResponseTime(now time.Time, defaultTime float64) float64 {
+	if c.responseTime == 0 {
+		return defaultTime
 	}
-	age := now.Sub(s.tookAt).Seconds() / forgetTook.Seconds()
-	keep := 1 / (1 + age)
-	return usual + (s.took-usual)*keep
+	age := now.Sub(c.responseTimeAt).Seconds() / responseTimeHalfLife.Seconds()
+	weight := 1 / (1 + age)
+	return defaultTime + (c.responseTime-defaultTime)*weight
 }
--- a/chiveplace/demand.go
+++ b/chiveplace/demand.go
@@ -5,69 +5,72 @@
 	"time"
 )
 
-// Reading something again costs the time that it takes from others. How much that is depends on the load of the moment: when
-// engines are nearly idle nobody waits, and in a burst each millisecond is a millisecond for everyone in the queue.
+// Recomputing cached tokens costs engine time that other requests would use. How many of them it makes late depends on
+// the current load: nobody waits while engines are nearly idle, but in a burst each millisecond delays the whole queue.
 
 const (
-	// demandFades is the time constant in which arrivals are forgotten: bursts last for seconds, and a second has enough arrivals to tell.
-	demandFades = 2 * time.Second
-	// busyMost bounds the load that is reckoned with: above it queues do not settle, and what a burst adds cannot be told from its rate.
-	busyMost = 0.9
+	// demandDecay is the time constant of the decay of arrivals: bursts last for seconds, and one second has enough
+	// arrivals for an estimate.
+	demandDecay = 2 * time.Second
+	// maxUtilization limits the utilization in the estimate: above it queues do not reach a steady state, and the
+	// effect of a burst cannot be derived from its rate.
+	maxUtilization = 0.9
 )
 
-// demand is how many prompts an engine gets, from all nodes as far as they tell, and how much work they are.
+// demand is the rate of the prompts that an engine gets from this node and, as far as they report it, from all others.
 type demand struct {
-	// arrivals are prompts a millisecond, work is the engine's time a millisecond.
-	arrivals float64
-	work     float64
-	at       time.Time
+	// arrivalRate is in prompts per millisecond, utilization in milliseconds of engine time per millisecond.
+	arrivalRate float64
+	utilization float64
+	updatedAt   time.Time
 }
 
-func (d *demand) fade(now time.Time) {
-	passed := now.Sub(d.at)
-	if passed <= 0 || d.arrivals == 0 {
-		d.at = now
+func (d *demand) decay(now time.Time) {
+	elapsed := now.Sub(d.updatedAt)
+	if elapsed <= 0 || d.arrivalRate == 0 {
+		d.updatedAt = now
 		return
 	}
-	keep := math.Exp(-passed.Seconds() / demandFades.Seconds())
-	d.arrivals *= keep
-	d.work *= keep
-	d.at = now
+	factor := math.Exp(-elapsed.Seconds() / demandDecay.Seconds())
+	d.arrivalRate *= factor
+	d.utilization *= factor
+	d.updatedAt = now
 }
 
-// note counts a prompt that takes the engine so many milliseconds.
-func (d *demand) note(now time.Time, ms float64) {
-	d.fade(now)
-	window := float64(demandFades.Milliseconds())
-	d.arrivals += 1 / window
-	d.work += ms / window
+// addPrompt adds a prompt that takes the given engine time.
+func (d *demand) addPrompt(now time.Time, ms float64) {
+	d.decay(now)
+	window := float64(demandDecay.Milliseconds())
+	d.arrivalRate += 1 / window
+	d.utilization += ms / window
 }
 
-// crowd is the demand on a group of engines with what waits there.
-type crowd struct {
-	engines  int
-	arrivals float64
-	work     float64
-	// waiting is the time in milliseconds that all of what waits takes.
-	waiting float64
+// groupDemand is the demand on a group of engines and the work queued there.
+type groupDemand struct {
+	engines     int
+	arrivalRate float64
+	utilization float64
+	// queuedMs is the predicted time of all queued prompt tokens.
+	queuedMs float64
 }
 
-func (c *crowd) add(now time.Time, d *demand, waiting float64) {
-	d.fade(now)
-	c.engines++
-	c.arrivals += d.arrivals
-	c.work += d.work
-	c.waiting += waiting
+func (g *groupDemand) add(now time.Time, d *demand, queuedMs float64) {
+	d.decay(now)
+	g.engines++
+	g.arrivalRate += d.arrivalRate
+	g.utilization += d.utilization
+	g.queuedMs += queuedMs
 }
 
-// lossPerMs returns how many requests with a target miss it for each millisecond that one of the engines spends: those that arrive
-// while it is behind come that much later, and each millisecond is its part of the ramp of their chance to be late.
-func (c *crowd) lossPerMs(target float64) float64 {
-	if c.engines == 0 || c.arrivals == 0 {
+// lossPerMs returns the expected number of requests that miss their target for each millisecond that one of the engines
+// spends. Requests that arrive while the engine is behind get their first event that much later, and each millisecond
+// raises their chance to be late by its share of the ramp.
+func (g *groupDemand) lossPerMs(targetMs float64) float64 {
+	if g.engines == 0 || g.arrivalRate == 0 {
 		return 0
 	}
-	n := float64(c.engines)
-	behind := c.waiting/n + c.work/c.arrivals
-	arriving := c.arrivals / n * behind / (1 - min(c.work/n, busyMost))
-	return arriving / ((lateTo - lateFrom) * target)
+	n := float64(g.engines)
+	delayMs := g.queuedMs/n + g.utilization/g.arrivalRate
+	delayed := g.arrivalRate / n * delayMs / (1 - min(g.utilization/n, maxUtilization))
+	return delayed / ((ttftRampEnd - ttftRampStart) * targetMs)
 }
--- a/chiveplace/engine.go
+++ b/chiveplace/engine.go
@@ -7,148 +7,155 @@
 	"chivedrift/chiverequest"
 )
 
-// The cost of an engine for a request is the loss that is expected there, in requests that miss what their routes promise: the
-// request itself by its first event or by its pauses, the streams that run there by theirs, and those that come later by the time
-// that is spent on reading what another engine holds. Each term is a chance times a number of requests, so that no term needs a
-// weight of its own.
+// The cost of an engine for a request is its expected loss: the expected number of requests that miss what their routes
+// promise. These are the request itself, by its first event or by its pauses; the streams on the engine, by their
+// pauses; and later requests, by the time that the engine spends on recomputing what another engine has cached. Each
+// term is a probability times a number of requests, so no term needs a weight of its own.
 const (
-	// lateFrom and lateTo bound the ramp of the chance to miss the target, as shares of the target: predicted times to first events
-	// are off by about half in either direction, mostly by what other nodes send meanwhile (spread 77 to 490 ms on virtual
-	// time at means of 89 to 1087 ms). A target that is just met by prediction is lost, since news come late, not early.
-	lateFrom = 0.5
-	lateTo   = 1.0
-	// sooner is the loss for a whole target of expected time: among engines that lose nothing the soonest is best.
-	sooner = 0.05
-	// offHome is the loss for an engine that is not the home of a part that nobody holds yet, so that nodes which choose at the same
-	// moment meet on one engine.
-	offHome = 0.1
-	// errorLoss is the loss for an engine that fails every request.
-	errorLoss = 2
+	// ttftRampStart and ttftRampEnd are the ratios of predicted TTFT to its target at which the chance to miss the
+	// target rises from 0 and reaches 1. Predictions are off by about half in either direction, mostly because of
+	// requests that other nodes send meanwhile (spread of 77 to 490 ms at means of 89 to 1087 ms, on virtual time). A
+	// target that the prediction just meets counts as missed, since reports of load arrive late.
+	ttftRampStart = 0.5
+	ttftRampEnd   = 1.0
+	// ttftTieBreakLoss is the loss for a predicted TTFT as long as the target: among engines without any other loss the
+	// fastest wins.
+	ttftTieBreakLoss = 0.05
+	// nonHomeLoss is the loss for an engine that is not the home of a part that no engine has cached yet, so that nodes
+	// that choose at the same moment send the part to the same engine.
+	nonHomeLoss = 0.1
+	// errorRateLoss is the loss for an engine with an error rate of 1.
+	errorRateLoss = 2
 )
 
-// engineChoice holds what is the same for all engines in one choice.
+// engineChoice holds the values that are the same for all engines in one choice.
 type engineChoice struct {
 	pool   *Pool
 	prompt *chiverequest.Prompt
-	// target is the request's in milliseconds.
-	target float64
-	tight  bool
-	home   *candidate
-	// held is the number of leading tokens that the best engine holds, or will hold when it has read them.
-	held int64
-	// holder is the engine that has read the most, and read how many leading tokens that are: others may fetch them.
-	holder *candidate
-	read   int64
-	// perMs is the loss of later requests for each millisecond that an engine spends.
-	perMs float64
+	// targetMs is the TTFT target of the request.
+	targetMs         float64
+	latencySensitive bool
+	home             *candidate
+	// cachedTokens is the length of the longest prefix of the prompt that an engine has cached, or will have once it
+	// has prefilled it.
+	cachedTokens int64
+	// holder is the engine that has prefilled the longest prefix so far, holderTokens the length of that prefix. Other
+	// engines may fetch it from there.
+	holder       *candidate
+	holderTokens int64
+	// lossPerMs is the expected number of later requests that miss their target, for each millisecond of engine time.
+	lossPerMs float64
 }
 
 func (p *Pool) newEngineChoice(now time.Time, candidates []*candidate, ask Ask) *engineChoice {
 	prompt := ask.Prompt
 	c := &engineChoice{
-		pool: p, prompt: prompt, target: targetOf(prompt), tight: p.isTight(prompt), home: homeOf(p.homes(candidates, ask), SharedPart(prompt)),
+		pool: p, prompt: prompt, targetMs: ttftTargetMs(prompt), latencySensitive: p.isLatencySensitive(prompt), home: homeOf(p.homes(candidates, ask), SharedPart(prompt)),
 	}
-	var others crowd
-	for _, s := range p.among(ask) {
-		c.noteHeld(now, s, ask)
-		others.add(now, &s.demand, p.forecast.waiting(s.waitingTokens())*s.speed())
+	var demand groupDemand
+	for _, cand := range p.allowedCandidates(ask) {
+		c.addCached(now, cand, ask)
+		demand.add(now, &cand.demand, p.ttft.queuedMs(cand.queuedTokens())*cand.slowdown())
 	}
-	c.perMs = others.lossPerMs(c.target)
+	c.lossPerMs = demand.lossPerMs(c.targetMs)
 	return c
 }
 
-// noteHeld notes what an engine holds of the prompt.
-func (c *engineChoice) noteHeld(now time.Time, s *candidate, ask Ask) {
-	c.held = max(c.held, c.prompt.Input-s.cache.missing(c.prompt))
-	if now.Before(s.downUntil) || slices.Contains(ask.Exclude, s.incarnation) || !ask.Domains.Contains(s.endpoint.FailureDomain) {
+// addCached takes into account what an engine has cached of the prompt.
+func (c *engineChoice) addCached(now time.Time, cand *candidate, ask Ask) {
+	c.cachedTokens = max(c.cachedTokens, c.prompt.Input-cand.cache.missingTokens(c.prompt))
+	if now.Before(cand.ejectedUntil) || slices.Contains(ask.Exclude, cand.incarnation) || !ask.Domains.Contains(cand.endpoint.FailureDomain) {
 		return
 	}
-	if read := s.cache.readBy(now, c.prompt); read > c.read {
-		c.read, c.holder = read, s
+	if tokens := cand.cache.availableTokens(now, c.prompt); tokens > c.holderTokens {
+		c.holderTokens, c.holder = tokens, cand
 	}
 }
 
 const (
-	// fetchLeast is the least number of tokens that are fetched: setting up a transfer takes a few milliseconds, as does reading some
-	// hundred tokens.
-	fetchLeast = 512
-	// fetchShare is the part of the time of reading tokens that fetching them may take. Where engines cannot fetch it is learnt to take
-	// about as long as reading, and is not tried any more.
-	fetchShare = 0.4
-	// movedPart is the part of the loss by reading tokens that counts for fetching them: they take room at a second engine and time on
-	// the links of both.
-	movedPart = 0.5
+	// minFetchTokens is the least number of tokens to fetch: setting up a transfer takes a few milliseconds, as does a
+	// prefill of some hundred tokens.
+	minFetchTokens = 512
+	// maxFetchTimeShare is the largest ratio of fetch time to prefill time at which tokens are fetched. Where engines
+	// cannot fetch, the learnt fetch time approaches the prefill time, and fetches stop.
+	maxFetchTimeShare = 0.4
+	// fetchLossShare is the share of the recompute loss that counts for fetched tokens: they take memory on a second
+	// engine and time on the links of both.
+	fetchLossShare = 0.5
 )
 
-// split tells what an engine would read and fetch of the prompt, and how much of what it reads another one holds.
-func (c *engineChoice) split(s *candidate) (reads, fetches, again int64) {
-	missing := s.cache.missing(c.prompt)
-	fetches = c.read - (c.prompt.Input - missing)
-	if c.holder == s || !c.pool.worthFetching(fetches) {
-		fetches = 0
+// splitPrompt returns how many tokens of the prompt an engine would prefill and fetch, and how many of those to prefill
+// another engine has cached.
+func (c *engineChoice) splitPrompt(cand *candidate) (prefill, fetch, recompute int64) {
+	missing := cand.cache.missingTokens(c.prompt)
+	fetch = c.holderTokens - (c.prompt.Input - missing)
+	if c.holder == cand || !c.pool.worthFetching(fetch) {
+		fetch = 0
 	}
-	reads = missing - fetches
-	return reads, fetches, max(reads-(c.prompt.Input-c.held), 0)
+	prefill = missing - fetch
+	return prefill, fetch, max(prefill-(c.prompt.Input-c.cachedTokens), 0)
 }
 
-// worthFetching reports whether tokens should be fetched from another engine that has read them.
+// worthFetching reports whether to fetch tokens from another engine that has them cached.
 func (p *Pool) worthFetching(tokens int64) bool {
-	return tokens >= fetchLeast && p.forecast.fetched(tokens) <= fetchShare*p.forecast.own(float64(tokens))
+	return tokens >= minFetchTokens && p.ttft.fetchMs(tokens) <= maxFetchTimeShare*p.ttft.prefillMs(float64(tokens))
 }
 
-// targetOf returns a request's target in milliseconds.
-func targetOf(prompt *chiverequest.Prompt) float64 {
+// ttftTargetMs returns the TTFT target of a request in milliseconds, at least 1.
+func ttftTargetMs(prompt *chiverequest.Prompt) float64 {
 	return max(float64(prompt.Target.Milliseconds()), 1)
 }
 
-// sampled is how many engines are weighed in a large pool.
-const sampled = 12
+// sampleSize is the number of random engines to compare in a large pool.
+const sampleSize = 12
 
-// sample returns the engines to weigh: in a large pool a dozen drawn at random, and those that hold the most of the prompt.
+// sample returns the engines to compare: in a large pool a random sample, the home of the prompt and the engines that
+// have the longest prefix cached.
 //
-// What nodes know of each other is some tenths of a second old. If all of them weighed all engines, those that decide
-// meanwhile would all choose the same best one; one would see its queue jump while others stand idle.
+// What nodes know about each other is some tenths of a second old. If all of them compared all engines, those that
+// choose within that time would all choose the same best one, whose queue would jump while others are idle.
 func (c *engineChoice) sample(candidates []*candidate) []*candidate {
-	if len(candidates) <= sampled {
+	if len(candidates) <= sampleSize {
 		return candidates
 	}
-	chosen := make([]*candidate, 0, sampled+1)
-	for _, s := range candidates {
-		if s == c.home || (c.held > 0 && c.prompt.Input-s.cache.missing(c.prompt) == c.held) {
-			chosen = append(chosen, s)
+	chosen := make([]*candidate, 0, sampleSize+1)
+	for _, cand := range candidates {
+		if cand == c.home || (c.cachedTokens > 0 && c.prompt.Input-cand.cache.missingTokens(c.prompt) == c.cachedTokens) {
+			chosen = append(chosen, cand)
 		}
 	}
-	for range sampled {
-		chosen = append(chosen, candidates[c.pool.random.IntN(len(candidates))])
+	for range sampleSize {
+		chosen = append(chosen, candidates[c.pool.rng.IntN(len(candidates))])
 	}
 	return chosen
 }
 
 // cost is the expected loss on one engine.
-func (c *engineChoice) cost(now time.Time, s *candidate) float64 {
-	reads, fetches, again := c.split(s)
-	first := c.pool.forecast.first(work{reads: reads, fetches: fetches, ahead: s.waitingFor(c.prompt.Rank)}) * s.speed()
-	loss := ramp(first/c.target, lateFrom, lateTo) + sooner*first/c.target
-	disturbed := c.pool.disturbed(now, s)
-	loss += c.pauseLoss(now, s, disturbed)
-	loss += c.pool.spoiled(s, reads, disturbed)
-	loss += c.againLoss(s, fetches, again)
-	if c.held == 0 && s != c.home {
-		loss += offHome
+func (c *engineChoice) cost(now time.Time, cand *candidate) float64 {
+	prefill, fetch, recompute := c.splitPrompt(cand)
+	ttftMs := c.pool.ttft.predict(prefillWork{prefillTokens: prefill, fetchTokens: fetch, queuedAhead: cand.queuedAhead(c.prompt.Rank)}) * cand.slowdown()
+	loss := ramp(ttftMs/c.targetMs, ttftRampStart, ttftRampEnd) + ttftTieBreakLoss*ttftMs/c.targetMs
+	longPrefill := c.pool.longPrefillChance(now, cand)
+	loss += c.pauseLoss(now, cand, longPrefill)
+	loss += c.pool.delayedStreams(cand, prefill, longPrefill)
+	loss += c.recomputeLoss(cand, fetch, recompute)
+	if c.cachedTokens == 0 && cand != c.home {
+		loss += nonHomeLoss
 	}
-	return loss + errorLoss*s.errors
+	return loss + errorRateLoss*cand.errorRate
 }
 
-// againLoss is the loss of later requests by the time that an engine spends on what another one holds.
-func (c *engineChoice) againLoss(s *candidate, fetches, again int64) float64 {
-	loss := c.perMs * c.pool.forecast.own(float64(again)+movedPart*float64(fetches)) * s.speed()
-	if s.cache.isFull(again + fetches) {
-		// What is read takes the place of as much that others would have found, and that is read again in its turn.
+// recomputeLoss is the expected loss of later requests from the time that an engine spends on tokens that another
+// engine has cached.
+func (c *engineChoice) recomputeLoss(cand *candidate, fetch, recompute int64) float64 {
+	loss := c.lossPerMs * c.pool.ttft.prefillMs(float64(recompute)+fetchLossShare*float64(fetch)) * cand.slowdown()
+	if cand.cache.wouldEvict(recompute + fetch) {
+		// The tokens evict as many others, which are recomputed for later requests in their turn.
 		loss *= 2
 	}
 	return loss
 }
 
-func ramp(x, from, to float64) float64 {
-	return min(max((x-from)/(to-from), 0), 1)
+func ramp(x, start, end float64) float64 {
+	return min(max((x-start)/(end-start), 0), 1)
 }
--- a/chiveplace/forecast.go
+++ b/chiveplace/forecast.go
@@ -2,113 +2,125 @@
 
 import "time"
 
-// work is what an engine does until a request's first event, in tokens: those of the request that it reads, those that it fetches from
-// another engine, and those that wait there before it.
-type work struct {
-	reads   int64
-	fetches int64
-	ahead   int64
+// prefillWork is what an engine does until the first event of a request, in tokens: those of the request that it
+// prefills, those that it fetches from another engine, and those queued ahead.
+type prefillWork struct {
+	prefillTokens int64
+	fetchTokens   int64
+	queuedAhead   int64
 }
 
-// forecast predicts how long a first event takes: a fixed time, and a time for each token that the engine reads of the request itself,
-// fetches, or has waiting before it. The first and the last differ: what waits has partly been read when the request
-// arrives, and nodes hear of it late, so that a waiting token costs between a half and all of the time of an own one.
-// The four are learnt from every first event by recursive least squares, the older ones fading.
-type forecast struct {
-	// weights are milliseconds: fixed, for a thousand own tokens, for a thousand fetched and for a thousand waiting ones.
-	weights [terms]float64
-	// spread is the inverse of the weighted sum of products of inputs.
-	spread [terms][terms]float64
+// ttftPredictor predicts the time to the first event (TTFT) as a fixed time plus a time for each token that the engine
+// prefills for the request itself, fetches, or has queued ahead. Prefilled and queued tokens have different weights:
+// part of the queue has been prefilled when the request arrives, and nodes learn of it late, so a queued token costs
+// between half and all of the time of a prefilled one. The four weights are learnt from every first event by recursive
+// least squares with exponential forgetting.
+type ttftPredictor struct {
+	// weights are in milliseconds: the fixed time, and the times for 1000 prefilled, 1000 fetched and 1000 queued
+	// tokens.
+	weights [featureCount]float64
+	// covariance is the inverse of the weighted sum of the outer products of the features.
+	covariance [featureCount][featureCount]float64
 }
 
-const terms = 4
+const featureCount = 4
 
 const (
-	// The first guesses are those of a usual engine that reads some 30 tokens a millisecond; a few dozen answers replace them.
-	firstFixed   = 30.0
-	firstOwn     = 35.0
-	firstFetched = 5.0
-	firstWaiting = 25.0
-	// forecastFades is what is left of an answer's weight with each later one: the last two hundred count, half a minute of a node.
-	forecastFades = 0.995
-	// firstSpread is how far the first guesses are trusted: an answer of a few thousand tokens moves them by a tenth.
-	firstSpread = 0.05
-	thousand    = 1000.0
-	// forecastLeast and forecastMost bound what is learnt for a thousand tokens, in milliseconds: the fastest links carry 2,500 tokens a
-	// millisecond, the slowest engines read 2.
-	forecastLeast = 0.4
-	forecastMost  = 500.0
-	// missedMost is the most by which one answer may be over its prediction, in predictions: a machine that stood still for seconds, or an
-	// engine that has turned slow, says nothing of the others.
-	missedMost = 1.0
+	// The initial weights are those of an average engine, which prefills about 30 tokens a millisecond. A few dozen
+	// answers replace them.
+	initialFixedMs   = 30.0
+	initialPrefillMs = 35.0
+	initialFetchMs   = 5.0
+	initialQueuedMs  = 25.0
+	// forgettingFactor multiplies the weight of earlier answers with each new one: the last 200 count, which one node
+	// gets in half a minute.
+	forgettingFactor = 0.995
+	// initialVariance is the uncertainty of the initial weights: an answer of a few thousand tokens moves them by a
+	// tenth.
+	initialVariance = 0.05
+	tokensPerUnit   = 1000.0
+	// minWeightMs and maxWeightMs limit the learnt times for 1000 tokens: the fastest links transfer 2,500 tokens a
+	// millisecond, the slowest engines prefill 2. maxWeightMs also limits the fixed time.
+	minWeightMs = 0.4
+	maxWeightMs = 500.0
+	// maxRelativeError limits by how much one answer may exceed its prediction, relative to the prediction: a machine
+	// that was suspended for seconds, or an engine that has become slow, says nothing about the others.
+	maxRelativeError = 1.0
 )
 
-func newForecast() forecast {
-	f := forecast{weights: [terms]float64{firstFixed, firstOwn, firstFetched, firstWaiting}}
-	for i := range terms {
-		f.spread[i][i] = firstSpread
+func newTTFTPredictor() ttftPredictor {
+	p := ttftPredictor{weights: [featureCount]float64{initialFixedMs, initialPrefillMs, initialFetchMs, initialQueuedMs}}
+	for i := range featureCount {
+		p.covariance[i][i] = initialVariance
 	}
-	f.spread[0][0] = firstSpread * thousand
-	return f
+	p.covariance[0][0] = initialVariance * tokensPerUnit
+	return p
 }
 
-func (w work) inputs() [terms]float64 {
-	return [terms]float64{1, float64(w.reads) / thousand, float64(w.fetches) / thousand, float64(w.ahead) / thousand}
+func (w prefillWork) features() [featureCount]float64 {
+	return [featureCount]float64{1, float64(w.prefillTokens) / tokensPerUnit, float64(w.fetchTokens) / tokensPerUnit, float64(w.queuedAhead) / tokensPerUnit}
 }
 
-// first predicts the time to a first event, in milliseconds.
-func (f *forecast) first(w work) float64 {
+// predict returns the predicted TTFT in milliseconds.
+func (p *ttftPredictor) predict(w prefillWork) float64 {
 	sum := 0.0
-	for i, x := range w.inputs() {
-		sum += f.weights[i] * x
+	for i, x := range w.features() {
+		sum += p.weights[i] * x
 	}
 	return sum
 }
 
-// own predicts what tokens of a request's own add to it, in milliseconds.
-func (f *forecast) own(tokens float64) float64 { return f.weights[1] * tokens / thousand }
+// prefillMs predicts the time for tokens that are prefilled for the request itself, in milliseconds.
+func (p *ttftPredictor) prefillMs(tokens float64) float64 {
+	return p.weights[1] * tokens / tokensPerUnit
+}
 
-// waiting predicts what tokens that wait add to it, in milliseconds.
-func (f *forecast) waiting(tokens int64) float64 { return f.weights[3] * float64(tokens) / thousand }
+// queuedMs predicts the time for queued tokens, in milliseconds.
+func (p *ttftPredictor) queuedMs(tokens int64) float64 {
+	return p.weights[3] * float64(tokens) / tokensPerUnit
+}
 
-// fetched predicts what fetching tokens adds to it, in milliseconds.
-func (f *forecast) fetched(tokens int64) float64 { return f.weights[2] * float64(tokens) / thousand }
+// fetchMs predicts the time for fetched tokens, in milliseconds.
+func (p *ttftPredictor) fetchMs(tokens int64) float64 {
+	return p.weights[2] * float64(tokens) / tokensPerUnit
+}
 
-// learn takes the time to a first event.
-func (f *forecast) learn(w work, took time.Duration) {
-	x := w.inputs()
-	// Long reads vary more, so an answer counts by the inverse of its expected time.
-	weight := firstFixed / max(f.first(w), firstFixed)
-	var gain [terms]float64
-	scale := forecastFades / weight
-	for i := range terms {
-		for j := range terms {
-			gain[i] += f.spread[i][j] * x[j]
+// update learns from the actual TTFT of a request.
+func (p *ttftPredictor) update(w prefillWork, took time.Duration) {
+	x := w.features()
+	// Long prefills vary more, so an answer has a weight inverse to its predicted time.
+	weight := initialFixedMs / max(p.predict(w), initialFixedMs)
+	var gain [featureCount]float64
+	scale := forgettingFactor / weight
+	for i := range featureCount {
+		for j := range featureCount {
+			gain[i] += p.covariance[i][j] * x[j]
 		}
 		scale += x[i] * gain[i]
 	}
-	predicted := f.first(w)
-	missed := min(float64(took)/float64(time.Millisecond)-predicted, missedMost*max(predicted, firstFixed))
-	for i := range terms {
-		f.weights[i] += gain[i] / scale * missed
+	predicted := p.predict(w)
+	residual := min(float64(took)/float64(time.Millisecond)-predicted, maxRelativeError*max(predicted, initialFixedMs))
+	for i := range featureCount {
+		p.weights[i] += gain[i] / scale * residual
 	}
-	for i := range terms {
-		for j := range terms {
-			f.spread[i][j] = (f.spread[i][j] - gain[i]*gain[j]/scale) / forecastFades
+	for i := range featureCount {
+		for j := range featureCount {
+			p.covariance[i][j] = (p.covariance[i][j] - gain[i]*gain[j]/scale) / forgettingFactor
 		}
 	}
-	f.bound()
+	p.clamp()
 }
 
-// bound keeps a few odd answers from turning the forecast upside down, and its trust from growing without end in a quiet time.
-func (f *forecast) bound() {
-	f.weights[0] = min(max(f.weights[0], 0), forecastMost)
-	for i := 1; i < terms; i++ {
-		f.weights[i] = min(max(f.weights[i], forecastLeast), forecastMost)
+// clamp keeps a few outliers from making the weights useless, and resets the covariance when it has grown too large
+// because of too few requests.
+func (p *ttftPredictor) clamp() {
+	p.weights[0] = min(max(p.weights[0], 0), maxWeightMs)
+	for i := 1; i < featureCount; i++ {
+		p.weights[i] = min(max(p.weights[i], minWeightMs), maxWeightMs)
 	}
-	for i := range terms {
-		if f.spread[i][i] > firstSpread*thousand {
-			*f = forecast{weights: f.weights, spread: newForecast().spread}
+	for i := range featureCount {
+		if p.covariance[i][i] > initialVariance*tokensPerUnit {
+			*p = ttftPredictor{weights: p.weights, covariance: newTTFTPredictor().covariance}
 			return
 		}
 	}
--- a/chiveplace/grant.go
+++ b/chiveplace/grant.go
@@ -10,135 +10,139 @@
 	"chivedrift/chiveresidency"
 )
 
-// promiseFor is how long a place counts that a node took for another one which does not tell of it: a request that was sent is
-// in the other node's next message, a few tenths of a second later.
-const promiseFor = time.Second
+// pendingGrantTimeout is how long a granted place counts without a report of the node that it was granted to. That
+// node's next message, a few tenths of a second later, reports a request that was sent.
+const pendingGrantTimeout = time.Second
 
-// Grant is a place that one node took for a request of another.
+// Grant is a place that one node reserved for a request of another.
 type Grant struct {
-	// Endpoint names the incarnation of the endpoint: a node that knows another one decides alone.
+	// Endpoint is the key of the endpoint's incarnation. A node that knows another incarnation of the endpoint chooses
+	// a place itself.
 	Endpoint string
-	// Reads is the number of prompt tokens to read anew, Ahead those that wait before them.
+	// Reads is the number of prompt tokens to prefill, Ahead the number of tokens queued ahead of them.
 	Reads int64
-	// Fetches is the number of tokens that the endpoint fetches from the one at an address.
+	// Fetches is the number of tokens that the endpoint fetches from the one at the address FetchFrom.
 	Fetches    int64
 	FetchFrom  string
 	Ahead      int64
 	Loss       float64
 	Candidates int
-	// Owner is the address of the node that granted it, as the node that asked notes it.
+	// Owner is the address of the node that granted the place; the node that asked for it sets it.
 	Owner string
 }
 
-// promise is a granted place that its node has not told of yet. It counts as if that node had told of it.
-type promise struct {
+// pendingGrant is a granted place that its node has not reported yet. It counts as if the node had reported it.
+type pendingGrant struct {
 	node      string
 	number    uint64
 	candidate *candidate
-	until     time.Time
+	expiresAt time.Time
 }
 
-func (m promise) key() string { return m.node + promiseMark + strconv.FormatUint(m.number, 10) }
+func (g pendingGrant) key() string {
+	return g.node + grantKeySeparator + strconv.FormatUint(g.number, 10)
+}
 
-// promiseMark stands between node and number in the key of a promise; no address has it.
-const promiseMark = "#"
+// grantKeySeparator separates the node and the number in the key of a pending grant in loadByNode; no node address
+// contains it.
+const grantKeySeparator = "#"
 
-func isPromise(key string) bool { return strings.Contains(key, promiseMark) }
+func isPendingGrantKey(key string) bool { return strings.Contains(key, grantKeySeparator) }
 
-func (m promise) drop() { m.candidate.setOther(m.key(), Load{}) }
+func (g pendingGrant) drop() { g.candidate.setNodeLoad(g.key(), Load{}) }
 
-// Grant takes a place for a request of another node, under a number that rises; the error is a *RefusedError.
+// Grant reserves a place for a request of another node, under an increasing number; the error is a *RefusedError.
 func (p *Pool) Grant(now time.Time, node string, number uint64, ask Ask) (Grant, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.expire(now)
+	p.expireGrants(now)
 	place, err := p.choose(now, ask)
 	if err != nil {
 		return Grant{}, err
 	}
-	s := place.candidate
-	p.use(now, s)
-	load := Load{Requests: 1, Waiting: byRank(nil).add(place.rank, place.reads)}
-	if place.tight {
+	cand := place.candidate
+	p.ensureRecord(now, cand)
+	load := Load{Requests: 1, Waiting: tokensByRank(nil).add(place.rank, place.prefillTokens)}
+	if place.latencySensitive {
 		load.Tight = 1
 	}
-	s.demand.note(now, p.forecast.own(float64(place.reads))*s.speed())
-	if place.reads > chunkTokens {
-		load.Long = place.reads
-		s.noteLong(now, place.reads)
+	cand.demand.addPrompt(now, p.ttft.prefillMs(float64(place.prefillTokens))*cand.slowdown())
+	if place.prefillTokens > prefillChunkTokens {
+		load.Long = place.prefillTokens
+		cand.addLongPrefill(now, place.prefillTokens)
 	}
 	if ask.Prompt != nil {
-		s.cache.touch(ask.Prompt.Parts, now.Add(place.expected))
+		cand.cache.touch(ask.Prompt.Parts, now.Add(place.expectedTTFT))
 	}
-	m := promise{node: node, number: number, candidate: s, until: now.Add(promiseFor)}
-	s.setOther(m.key(), load)
-	p.promises = append(p.promises, m)
-	return Grant{Endpoint: s.incarnation, Reads: place.reads, Fetches: place.fetches, FetchFrom: place.fetchFrom, Ahead: place.ahead, Loss: place.loss, Candidates: place.candidates}, nil
+	pending := pendingGrant{node: node, number: number, candidate: cand, expiresAt: now.Add(pendingGrantTimeout)}
+	cand.setNodeLoad(pending.key(), load)
+	p.pendingGrants = append(p.pendingGrants, pending)
+	return Grant{Endpoint: cand.incarnation, Reads: place.prefillTokens, Fetches: place.fetchTokens, FetchFrom: place.fetchFrom, Ahead: place.queuedAhead, Loss: place.loss, Candidates: place.candidateCount}, nil
 }
 
-// expire drops the promises whose nodes have not told of them in time.
-func (p *Pool) expire(now time.Time) {
-	p.promises = slices.DeleteFunc(p.promises, func(m promise) bool {
-		if now.After(m.until) {
-			m.drop()
+// expireGrants drops the pending grants that were not reported in time.
+func (p *Pool) expireGrants(now time.Time) {
+	p.pendingGrants = slices.DeleteFunc(p.pendingGrants, func(g pendingGrant) bool {
+		if now.After(g.expiresAt) {
+			g.drop()
 			return true
 		}
 		return false
 	})
 }
 
-// fulfil drops the promises that a node's own load report covers now.
-func (p *Pool) fulfil(node string, upTo uint64) {
-	p.promises = slices.DeleteFunc(p.promises, func(m promise) bool {
-		if m.node == node && m.number <= upTo {
-			m.drop()
+// settleGrants drops the pending grants of a node that its load report now includes.
+func (p *Pool) settleGrants(node string, lastGrant uint64) {
+	p.pendingGrants = slices.DeleteFunc(p.pendingGrants, func(g pendingGrant) bool {
+		if g.node == node && g.number <= lastGrant {
+			g.drop()
 			return true
 		}
 		return false
 	})
 }
 
-// Adopt makes a place of a grant; it fails when this node does not know the endpoint as ready or the ask does not allow its failure
-// domain, as an owner of an earlier release may grant it.
+// Adopt turns a grant into a place of this node. It fails if this node does not know the endpoint as ready, or if the
+// ask does not allow its failure domain: an owner of an earlier release may grant such a place.
 func (p *Pool) Adopt(now time.Time, grant Grant, ask Ask) (*Place, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s, ok := p.candidate(grant.Endpoint)
-	if !ok || s.endpoint.State != chivedirectory.Ready || !ask.Domains.Contains(s.endpoint.FailureDomain) {
+	cand, ok := p.lookup(grant.Endpoint)
+	if !ok || cand.endpoint.State != chivedirectory.Ready || !ask.Domains.Contains(cand.endpoint.FailureDomain) {
 		return nil, false
 	}
 	prompt := ask.Prompt
-	if grant.FetchFrom != "" && !p.isWithin(grant.FetchFrom, ask.Domains) {
+	if grant.FetchFrom != "" && !p.isInDomains(grant.FetchFrom, ask.Domains) {
 		grant.Reads, grant.Fetches, grant.FetchFrom = grant.Reads+grant.Fetches, 0, ""
 	}
 	place := &Place{
-		pool: p, candidate: s, endpoint: s.endpoint, domains: ask.Domains, began: now, reason: "granted by its owner", owner: grant.Owner, loss: grant.Loss, candidates: grant.Candidates,
-		reads: grant.Reads, fetches: grant.Fetches, fetchFrom: grant.FetchFrom, ahead: grant.Ahead, rank: prompt.Rank, tight: p.isTight(prompt),
-		input: prompt.Input,
+		pool: p, candidate: cand, endpoint: cand.endpoint, domains: ask.Domains, startedAt: now, reason: "granted by its owner", owner: grant.Owner, loss: grant.Loss, candidateCount: grant.Candidates,
+		prefillTokens: grant.Reads, fetchTokens: grant.Fetches, fetchFrom: grant.FetchFrom, queuedAhead: grant.Ahead, rank: prompt.Rank, latencySensitive: p.isLatencySensitive(prompt),
+		promptTokens: prompt.Input,
 	}
-	p.hold(now, place, prompt)
+	p.countOwn(now, place, prompt)
 	return place, true
 }
 
-// isWithin reports whether the endpoint at an address is in one of the failure domains; the caller holds the lock.
-func (p *Pool) isWithin(address string, domains chiveresidency.Domains) bool {
+// isInDomains reports whether the endpoint at an address is in an allowed failure domain; the caller holds the lock.
+func (p *Pool) isInDomains(address string, domains chiveresidency.Domains) bool {
 	if !domains.IsLimited() {
 		return true
 	}
-	return slices.ContainsFunc(p.ordered, func(s *candidate) bool {
-		return s.endpoint.Address == address && domains.Contains(s.endpoint.FailureDomain)
+	return slices.ContainsFunc(p.sorted, func(cand *candidate) bool {
+		return cand.endpoint.Address == address && domains.Contains(cand.endpoint.FailureDomain)
 	})
 }
 
-// PassedOver returns the endpoints that this node would not send to now, for what happened there.
+// PassedOver returns the incarnation keys of the endpoints that this node has ejected because of failures or refusals.
 func (p *Pool) PassedOver(now time.Time) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var ids []string
-	for id, s := range p.used {
-		if now.Before(s.downUntil) {
-			ids = append(ids, id)
+	var incarnations []string
+	for incarnation, cand := range p.recorded {
+		if now.Before(cand.ejectedUntil) {
+			incarnations = append(incarnations, incarnation)
 		}
 	}
-	return ids
+	return incarnations
 }
--- a/chiveplace/home.go
+++ b/chiveplace/home.go
@@ -2,12 +2,13 @@
 
 import "slices"
 
-// homes returns the candidates of which one is the home of a shared part: those that the ask names, or all if none of these can be chosen.
+// homes returns the candidates from which the home of a shared part is chosen: those that the ask names, or all if none
+// of these is a candidate.
 func (p *Pool) homes(candidates []*candidate, ask Ask) []*candidate {
 	var homes []*candidate
 	for _, id := range ask.Home {
-		if s, ok := p.present[id]; ok && slices.Contains(candidates, s) {
-			homes = append(homes, s)
+		if cand, ok := p.byID[id]; ok && slices.Contains(candidates, cand) {
+			homes = append(homes, cand)
 		}
 	}
 	if len(homes) == 0 {
@@ -16,13 +17,13 @@
 	return homes
 }
 
-// homeOf returns the candidate that all nodes agree on for a part without talking: the one with the highest hash of both.
+// homeOf returns the candidate on which all nodes agree for a part without communication, by rendezvous hashing.
 func homeOf(candidates []*candidate, part uint64) *candidate {
 	var home *candidate
 	var highest uint64
-	for _, s := range candidates {
-		if weight := Weigh(s.hash, part); home == nil || weight > highest {
-			home, highest = s, weight
+	for _, cand := range candidates {
+		if weight := Weigh(cand.idHash, part); home == nil || weight > highest {
+			home, highest = cand, weight
 		}
 	}
 	return home
--- a/chiveplace/pause.go
+++ b/chiveplace/pause.go
@@ -5,63 +5,66 @@
 	"time"
 )
 
-// An engine can be slow although it answers every question after its health; only the streams that run there show it, by the
-// pauses between their events. A node has few streams on an engine at a time, so what it sees it tells the others.
+// An engine can be slow although it passes all health checks; only the streams that run there show it, by the pauses
+// between their events. A node has few streams on an engine at a time, so it reports the pauses that it measures to the
+// other nodes.
 
 const (
-	// pauseMemory is the weight of the newest pause in the running one.
-	pauseMemory = 0.3
-	// pauseFades is the time constant in which a pause is forgotten, so that an engine that was slow is tried again.
-	pauseFades = 2 * time.Second
-	// pauseFrom and pauseTo bound the ramp of the chance to be late by a pause, as shares of the promised pause.
-	pauseFrom = 0.5
-	pauseTo   = 1.2
-	// pauseTold is the pause from which the other nodes are told; shorter ones make nobody late.
-	pauseTold = 100 * time.Millisecond
-	// pauseTelling is the factor by which a pause has to change before it is told anew.
-	pauseTelling = 1.5
+	// pauseWeight is the weight of the newest pause in the moving average.
+	pauseWeight = 0.3
+	// pauseDecay is the time constant of the decay of a pause, so that an engine that was slow is tried again.
+	pauseDecay = 2 * time.Second
+	// pauseRampStart and pauseRampEnd are the ratios of the measured to the promised pause at which the chance to be
+	// late rises from 0 and reaches 1.
+	pauseRampStart = 0.5
+	pauseRampEnd   = 1.2
+	// minReportedPause is the shortest pause to report; shorter ones make no request late.
+	minReportedPause = 100 * time.Millisecond
+	// pauseReportFactor is the factor by which a pause has to change to be reported again.
+	pauseReportFactor = 1.5
 )
 
-// fading is a duration that is forgotten with time.
-type fading struct {
-	value time.Duration
-	at    time.Time
+// decayingDuration is a duration that decays exponentially.
+type decayingDuration struct {
+	value     time.Duration
+	updatedAt time.Time
 }
 
-func (f fading) now(now time.Time) time.Duration {
-	if f.value == 0 {
+func (d decayingDuration) valueAt(now time.Time) time.Duration {
+	if d.value == 0 {
 		return 0
 	}
-	return time.Duration(float64(f.value) * math.Exp(-now.Sub(f.at).Seconds()/pauseFades.Seconds()))
+	return time.Duration(float64(d.value) * math.Exp(-now.Sub(d.updatedAt).Seconds()/pauseDecay.Seconds()))
 }
 
-// notePause takes a pause between two events of one stream.
-func (s *candidate) notePause(now time.Time, pause time.Duration) {
-	before := s.pause.now(now)
-	s.pause = fading{before + time.Duration(pauseMemory*float64(pause-before)), now}
-	if pauseOutdated(s.pause.value, s.told) {
-		s.dirty = true
+// recordPause adds a pause between two events of a stream to the moving average.
+func (c *candidate) recordPause(now time.Time, pause time.Duration) {
+	before := c.ownPause.valueAt(now)
+	c.ownPause = decayingDuration{before + time.Duration(pauseWeight*float64(pause-before)), now}
+	if isPauseOutdated(c.ownPause.value, c.reportedPause) {
+		c.dirty = true
 	}
 }
 
-func pauseOutdated(pause, told time.Duration) bool {
-	if pause < pauseTold && told < pauseTold {
+func isPauseOutdated(pause, reported time.Duration) bool {
+	if pause < minReportedPause && reported < minReportedPause {
 		return false
 	}
-	return float64(pause) > pauseTelling*float64(told) || float64(told) > pauseTelling*float64(pause)
+	return float64(pause) > pauseReportFactor*float64(reported) || float64(reported) > pauseReportFactor*float64(pause)
 }
 
-// hearPause takes what another node tells of the pauses there; the longest that is not forgotten counts.
-func (s *candidate) hearPause(now time.Time, pause time.Duration) {
-	if pause > s.heard.now(now) {
-		s.heard = fading{pause, now}
+// mergeReportedPause applies a pause reported by another node. The longest one counts until it has decayed.
+func (c *candidate) mergeReportedPause(now time.Time, pause time.Duration) {
+	if pause > c.otherPause.valueAt(now) {
+		c.otherPause = decayingDuration{pause, now}
 	}
 }
 
-// latePauses is the chance that a stream is late by its pauses alone.
-func (s *candidate) latePauses(now time.Time, promised time.Duration) float64 {
-	if promised == 0 {
+// latePauseChance is the chance that a stream with a promised longest pause is late by the measured and reported
+// pauses.
+func (c *candidate) latePauseChance(now time.Time, maxPause time.Duration) float64 {
+	if maxPause == 0 {
 		return 0
 	}
-	return ramp(float64(max(s.pause.now(now), s.heard.now(now)))/float64(promised), pauseFrom, pauseTo)
+	return ramp(float64(max(c.ownPause.valueAt(now), c.otherPause.valueAt(now)))/float64(maxPause), pauseRampStart, pauseRampEnd)
 }
--- a/chiveplace/place.go
+++ b/chiveplace/place.go
@@ -8,204 +8,215 @@
 	"chivedrift/chivetable"
 )
 
-// Ending tells how the use of a place ended, as far as it speaks for or against the endpoint.
+// Ending is how a request on an endpoint ended, as far as that says something about the endpoint.
 type Ending uint8
 
 const (
-	// EndedWell is an answer that came through whole.
+	// EndedWell is a complete answer.
 	EndedWell Ending = iota
-	// EndedError is an answer by which the endpoint reports a failure of its own.
+	// EndedError is an answer in which the endpoint reports an error of its own.
 	EndedError
-	// EndedBroken is a connection that failed or an answer that made no sense.
+	// EndedBroken is a failed connection or an invalid answer.
 	EndedBroken
-	// EndedFull is the endpoint's answer that it has no room.
+	// EndedFull is a refusal by the endpoint for lack of capacity.
 	EndedFull
-	// EndedGone is the answer of another endpoint at the same address.
+	// EndedGone is an answer from a different endpoint that now has the same address.
 	EndedGone
-	// EndedCaller is a request that was given up for reasons that are not the endpoint's.
+	// EndedCaller is a request that was abandoned for reasons that do not concern the endpoint.
 	EndedCaller
 )
 
-// Place is one request's place on an endpoint.
+// Place is the placement of one request on an endpoint. It counts towards the load of the endpoint until Done is
+// called.
 type Place struct {
 	pool      *Pool
 	candidate *candidate
 	endpoint  chivedirectory.Endpoint
 	// domains are the failure domains that the request is limited to.
-	domains    chiveresidency.Domains
-	began      time.Time
-	reason     string
-	owner      string
-	loss       float64
-	nextBest   string
-	nextLoss   float64
-	candidates int
-	// perMs is the loss of later requests for each millisecond that the engine spends.
-	perMs float64
-	reads int64
-	// fetches are the tokens that it fetches from the endpoint at an address.
-	fetches   int64
-	fetchFrom string
-	// input is the length of the prompt; holder is the address of the engine that has read the most of it, held how many leading tokens.
-	input  int64
-	holder string
-	held   int64
-	// again are those of them that another engine holds, expected is the predicted time to the first event.
-	again    int64
-	expected time.Duration
-	ahead    int64
-	rank     chivetable.Rank
-	tight    bool
-	// longest is the longest pause between events so far.
-	longest time.Duration
-	started bool
-	ended   bool
+	domains        chiveresidency.Domains
+	startedAt      time.Time
+	reason         string
+	owner          string
+	loss           float64
+	nextBest       string
+	nextLoss       float64
+	candidateCount int
+	// lossPerMs is the expected number of later requests that miss their target, for each millisecond of engine time.
+	lossPerMs     float64
+	prefillTokens int64
+	// fetchTokens is the number of prompt tokens that the engine fetches from the cache of the endpoint at fetchFrom.
+	fetchTokens int64
+	fetchFrom   string
+	// promptTokens is the length of the prompt. holderAddress is the address of the engine that has computed the
+	// longest prefix of it, holderTokens the length of that prefix.
+	promptTokens  int64
+	holderAddress string
+	holderTokens  int64
+	// recomputeTokens is the part of prefillTokens that another engine has cached. expectedTTFT is the predicted time
+	// to the first event.
+	recomputeTokens  int64
+	expectedTTFT     time.Duration
+	queuedAhead      int64
+	rank             chivetable.Rank
+	latencySensitive bool
+	// maxPause is the longest pause between events so far.
+	maxPause  time.Duration
+	prefilled bool
+	done      bool
 }
 
-// weigh takes a candidate when it costs less than the best so far.
-func (p *Place) weigh(s *candidate, cost float64) {
+// consider selects a candidate if it costs less than the best one so far, and keeps track of the second best.
+func (p *Place) consider(cand *candidate, cost float64) {
 	switch {
 	case cost < p.loss:
 		if p.candidate != nil {
 			p.nextBest, p.nextLoss = p.endpoint.ID, p.loss
 		}
-		p.candidate, p.endpoint, p.loss = s, s.endpoint, cost
+		p.candidate, p.endpoint, p.loss = cand, cand.endpoint, cost
 	case cost < p.nextLoss:
-		p.nextBest, p.nextLoss = s.endpoint.ID, cost
+		p.nextBest, p.nextLoss = cand.endpoint.ID, cost
 	}
 }
 
-// Endpoint returns the endpoint that was chosen.
+// Endpoint returns the chosen endpoint.
 func (p *Place) Endpoint() chivedirectory.Endpoint { return p.endpoint }
 
-// leftBefore is how long before a time an endpoint has to have left the directory for its end to be planned. Of a process that crashed and restarted
-// within moments, nodes learn from the directory just when its connections break.
-const leftBefore = time.Second
+// minPlannedLeave is how long an endpoint must have been gone from the directory for its end to count as planned. When
+// a process crashes and restarts at once, the directory changes at about the same time as its connections break.
+const minPlannedLeave = time.Second
 
-// Leaving reports whether the endpoint was about to leave at a time, or had left.
+// Leaving reports whether, at the given time, the endpoint was leaving or had left as planned.
 func (p *Place) Leaving(at time.Time) bool {
 	p.pool.mu.Lock()
 	defer p.pool.mu.Unlock()
-	s := p.candidate
-	return s.endpoint.State == chivedirectory.Leaving || (!s.removed.IsZero() && at.Sub(s.removed) >= leftBefore)
+	cand := p.candidate
+	return cand.endpoint.State == chivedirectory.Leaving || (!cand.removedAt.IsZero() && at.Sub(cand.removedAt) >= minPlannedLeave)
 }
 
-// Reason tells by what the endpoint was chosen.
+// Reason returns the criterion by which the endpoint was chosen.
 func (p *Place) Reason() string { return p.reason }
 
-// Owner returns the address of the node that granted the place; empty when this node chose.
+// Owner returns the address of the node that granted the place; empty if this node chose the endpoint itself.
 func (p *Place) Owner() string { return p.owner }
 
-// Candidates returns among how many endpoints it was chosen.
-func (p *Place) Candidates() int { return p.candidates }
+// Candidates returns the number of endpoints that the choice was made from.
+func (p *Place) Candidates() int { return p.candidateCount }
 
-// Loss returns the expected cost by which the endpoint was chosen, and the next best endpoint with its cost.
+// Loss returns the cost of the chosen endpoint, and the second best endpoint with its cost.
 func (p *Place) Loss() (loss float64, nextBest string, nextLoss float64) {
 	return p.loss, p.nextBest, p.nextLoss
 }
 
-// Reads returns how many prompt tokens the endpoint is believed to have to read anew.
-func (p *Place) Reads() int64 { return p.reads }
+// Reads returns how many prompt tokens the engine is expected to prefill because it does not have them cached.
+func (p *Place) Reads() int64 { return p.prefillTokens }
 
-// work is what the engine does until the first event.
-func (p *Place) work() work { return work{reads: p.reads, fetches: p.fetches, ahead: p.ahead} }
+// prefillWork returns the work of the engine until the first event.
+func (p *Place) prefillWork() prefillWork {
+	return prefillWork{prefillTokens: p.prefillTokens, fetchTokens: p.fetchTokens, queuedAhead: p.queuedAhead}
+}
 
-// FetchFrom returns the address of the endpoint from which the chosen one should fetch the parts that it lacks; empty for none.
+// FetchFrom returns the address of the endpoint from whose cache the chosen one should fetch prompt parts; empty for
+// none.
 func (p *Place) FetchFrom() string { return p.fetchFrom }
 
-// Fetches returns how many tokens that other endpoint is believed to hold beyond the chosen one.
-func (p *Place) Fetches() int64 { return p.fetches }
+// Fetches returns how many prompt tokens the chosen endpoint should fetch from there.
+func (p *Place) Fetches() int64 { return p.fetchTokens }
 
-// FetchInstead has the endpoint fetch what another one, at an address, is known to have read of the prompt, where that is worth it and nothing else
-// is to be fetched.
+// FetchInstead makes the engine fetch cached parts of the prompt from another endpoint instead of prefilling them. The
+// other endpoint, at the given address, has the first held tokens of the prompt cached. Nothing changes after the first
+// event, if the transfer does not pay off, if another fetch is planned already or if that endpoint is outside the
+// allowed failure domains.
 //
-// A node that grants places knows what its own engines hold. When a request goes elsewhere because they have too much to do, the engine there
-// would read again what one of them could hand over.
+// A node that grants places knows what its own engines have cached. When they are overloaded and the request goes to an
+// engine elsewhere, that engine would otherwise recompute tokens that one of them can transfer.
 func (p *Place) FetchInstead(address string, held int64) {
 	p.pool.mu.Lock()
 	defer p.pool.mu.Unlock()
-	fetches := held - (p.input - p.reads)
-	if p.started || p.fetchFrom != "" || address == p.endpoint.Address || !p.pool.worthFetching(fetches) || !p.pool.isWithin(address, p.domains) {
+	fetchTokens := held - (p.promptTokens - p.prefillTokens)
+	if p.prefilled || p.fetchFrom != "" || address == p.endpoint.Address || !p.pool.worthFetching(fetchTokens) || !p.pool.isInDomains(address, p.domains) {
 		return
 	}
-	p.candidate.read(p)
-	p.fetches, p.fetchFrom = fetches, address
-	p.reads -= fetches
-	p.candidate.wait(p)
+	p.candidate.removeQueued(p)
+	p.fetchTokens, p.fetchFrom = fetchTokens, address
+	p.prefillTokens -= fetchTokens
+	p.candidate.addQueued(p)
 }
 
-// Again returns how many of the tokens to read another endpoint is believed to hold.
-func (p *Place) Again() int64 { return p.again }
+// Again returns how many of the tokens to prefill are believed to be cached by another endpoint.
+func (p *Place) Again() int64 { return p.recomputeTokens }
 
-// Expected returns the predicted time to the first event; 0 for plain services and for places that another node granted.
-func (p *Place) Expected() time.Duration { return p.expected }
+// Expected returns the predicted time to the first event; 0 for plain services and for places granted by another node.
+func (p *Place) Expected() time.Duration { return p.expectedTTFT }
 
-// Ahead returns how many prompt tokens of requests as urgent or more were believed to wait there before it.
-func (p *Place) Ahead() int64 { return p.ahead }
+// Ahead returns how many prompt tokens of requests of the same or a higher rank were believed to be queued there before
+// it.
+func (p *Place) Ahead() int64 { return p.queuedAhead }
 
-// Event notes an event of the answer that was waited for so long; with the first the prompt has been read.
-func (p *Place) Event(now time.Time, waited time.Duration) {
+// Event records an event of the answer and the pause before it. The first event means that the prompt has been
+// prefilled; it updates the TTFT prediction.
+func (p *Place) Event(now time.Time, pause time.Duration) {
 	p.pool.mu.Lock()
 	defer p.pool.mu.Unlock()
-	p.pool.use(now, p.candidate)
-	if p.started {
-		p.candidate.notePause(now, waited)
-		p.longest = max(p.longest, waited)
+	p.pool.ensureRecord(now, p.candidate)
+	if p.prefilled {
+		p.candidate.recordPause(now, pause)
+		p.maxPause = max(p.maxPause, pause)
 	} else {
-		p.candidate.learnSpeed(p.pool.forecast.first(p.work()), now.Sub(p.began))
-		p.pool.forecast.learn(p.work(), now.Sub(p.began))
+		p.candidate.updateSlowdown(p.pool.ttft.predict(p.prefillWork()), now.Sub(p.startedAt))
+		p.pool.ttft.update(p.prefillWork(), now.Sub(p.startedAt))
 	}
-	p.begin()
+	p.markPrefilled()
 	if p.candidate.dirty {
 		p.pool.onChange()
 	}
 }
 
-func (p *Place) begin() {
-	if p.started {
+func (p *Place) markPrefilled() {
+	if p.prefilled {
 		return
 	}
-	p.started = true
-	p.candidate.read(p)
+	p.prefilled = true
+	p.candidate.removeQueued(p)
 }
 
-// Eject keeps new requests from the endpoint until a time.
+// Eject keeps new requests away from the endpoint until the given time.
 func (p *Place) Eject(until time.Time) {
 	p.pool.mu.Lock()
 	defer p.pool.mu.Unlock()
-	p.pool.use(time.Now(), p.candidate)
-	p.candidate.downUntil = until
+	p.pool.ensureRecord(time.Now(), p.candidate)
+	p.candidate.ejectedUntil = until
 }
 
-// Done gives the place back and returns for how long the endpoint is passed over now; calls after the first do nothing.
+// Done releases the place and returns for how long the endpoint is ejected from now on. Calls after the first do
+// nothing.
 func (p *Place) Done(now time.Time, ending Ending) time.Duration {
 	p.pool.mu.Lock()
 	defer p.pool.mu.Unlock()
-	if p.ended {
+	if p.done {
 		return 0
 	}
-	p.ended = true
-	p.pool.use(now, p.candidate)
-	p.begin()
-	p.candidate.own--
-	if p.tight {
-		p.candidate.ownTight--
+	p.done = true
+	p.pool.ensureRecord(now, p.candidate)
+	p.markPrefilled()
+	p.candidate.ownRequests--
+	if p.latencySensitive {
+		p.candidate.ownSensitive--
 	}
-	if p.longest > 0 && p.candidate.longAt.After(p.began) {
-		p.pool.learnBeside(float64(p.longest) / float64(time.Millisecond) / p.candidate.speed())
+	if p.maxPause > 0 && p.candidate.longPrefillAt.After(p.startedAt) {
+		p.pool.updatePrefillPause(float64(p.maxPause) / float64(time.Millisecond) / p.candidate.slowdown())
 	}
 	p.candidate.dirty = true
 	p.pool.onChange()
 	switch ending {
 	case EndedWell, EndedError:
-		p.candidate.answered(now, ending == EndedError, now.Sub(p.began))
+		p.candidate.recordResponse(now, ending == EndedError, now.Sub(p.startedAt))
 	case EndedBroken:
-		p.candidate.failed(now)
+		p.candidate.recordFailure(now)
 	case EndedFull:
-		p.candidate.full(now)
+		p.candidate.recordFull(now)
 	case EndedGone:
-		p.candidate.downUntil = now.Add(passOverMost)
+		p.candidate.ejectedUntil = now.Add(maxEjection)
 	case EndedCaller:
 	}
-	return max(p.candidate.downUntil.Sub(now), 0)
+	return max(p.candidate.ejectedUntil.Sub(now), 0)
 }
--- a/chiveplace/pool.go
+++ b/chiveplace/pool.go
@@ -18,48 +18,51 @@
 )
 
 const (
-	// farAway is how much dearer a plain endpoint in another failure domain is.
-	farAway = 1.15
-	// errorWeight is how much dearer an endpoint becomes with its share of errors.
-	errorWeight = 12
-	// usualTook stands in for the time to an answer, in seconds, while nothing is known.
-	usualTook = 0.03
-	// retryWhenFull is when a caller should come back to a pool without a free place, in the order of an answer's length.
-	retryWhenFull = 300 * time.Millisecond
-	// retryWhenNone is when to come back to a pool without any endpoint: a node that has just started learns of them within a
-	// few hundred milliseconds.
-	retryWhenNone = 300 * time.Millisecond
+	// remoteDomainFactor multiplies the cost of a plain endpoint in another failure domain.
+	remoteDomainFactor = 1.15
+	// errorCostFactor is the increase of a plain endpoint's cost, relative to its cost without errors, at an error rate
+	// of 1.
+	errorCostFactor = 12
+	// defaultResponseTime, in seconds, is assumed for endpoints without a known response time.
+	defaultResponseTime = 0.03
+	// retryAfterFull is the time after which to retry on a pool at capacity, about as long as one answer takes.
+	retryAfterFull = 300 * time.Millisecond
+	// retryAfterNoEndpoint is the time after which to retry on a pool without endpoints: a node that has just started
+	// discovers them within a few hundred milliseconds.
+	retryAfterNoEndpoint = 300 * time.Millisecond
 )
 
-// Ask is one request for a place.
+// Ask is a request for a place.
 type Ask struct {
 	// Prompt is nil for requests to plain services.
 	Prompt *chiverequest.Prompt
-	// Exclude names endpoints, by id, that were tried already.
+	// Exclude lists endpoints that were tried already, by incarnation key.
 	Exclude []string
-	// Left is how long the caller still waits; 0 where that is not known.
+	// Left is how much longer the caller waits; 0 if that is not known.
 	Left time.Duration
-	// Among limits the choice to some endpoints, by id; nil means all.
+	// Among limits the choice to these endpoint ids; nil allows all.
 	Among []string
-	// Home names the endpoints, by id, one of which is to hold the shared part of a prompt that no engine holds yet; empty means any endpoint.
+	// Home lists the ids of the endpoints one of which is to cache the shared part of a prompt that no engine has
+	// cached yet; empty allows any endpoint.
 	Home []string
-	// Domains limits the choice, and what parts of the prompt are fetched from, to some failure domains.
+	// Domains limits the choice, and the endpoints to fetch prompt parts from, to some failure domains.
 	Domains chiveresidency.Domains
-	// Most is the loss above which other endpoints are to be asked first, beside that of reading so many tokens again; 0 means that
-	// there are none.
+	// Most limits the loss of the place. Above Most plus the loss of recomputing MostReads tokens the request is
+	// refused, so that other endpoints can be tried first. 0 means no limit, because there are no others.
 	Most      float64
 	MostReads int64
 }
 
-// RefusedError tells why a pool has no place and when to come back.
+// RefusedError tells why a pool has no place for a request and when to retry.
 type RefusedError struct {
 	Reason     string
 	RetryAfter time.Duration
-	// Expected is the predicted time to the first event on the best engine; 0 where no engine had room.
+	// Expected is the predicted time to the first event on the best engine; 0 if no engine had capacity.
 	Expected time.Duration
-	// Loss is the expected loss where there is a place that costs more than the ask allows; 0 where there is none.
+	// Loss is the loss of the best place if it exceeds the limit of the ask, otherwise 0.
 	Loss float64
-	// Holder is the address of the engine that has read the most of the prompt, Held how many leading tokens that are.
+	// Holder is the address of the engine that has computed the longest prefix of the prompt, Held the length of that
+	// prefix in tokens.
 	Holder string
 	Held   int64
 }
@@ -67,88 +70,93 @@
 // Error returns the reason.
 func (e *RefusedError) Error() string { return e.Reason }
 
-// Pool chooses among the endpoints of one pool and keeps the ledger of this node's requests on them.
+// Pool chooses among the endpoints of one pool and keeps track of the requests on them. It is safe for concurrent use.
 type Pool struct {
-	mu     sync.Mutex
-	domain string
-	// learned is when the node learned of the first endpoint; zero before.
-	learned time.Time
-	engine  chivetable.Engine
-	// warmUpRate is how many requests a second an endpoint takes while it warms up, nodes how many nodes place requests.
+	mu          sync.Mutex
+	localDomain string
+	// firstEndpointAt is when the node discovered the first endpoint; zero before.
+	firstEndpointAt time.Time
+	engine          chivetable.Engine
+	// warmUpRate is how many requests a second an endpoint accepts while it warms up, nodeCount how many nodes place
+	// requests.
 	warmUpRate float64
-	nodes      int
-	// evacuated are the failure domains whose endpoints get nothing.
-	evacuated []string
-	// present holds the candidate of each endpoint, by id.
-	present map[string]*candidate
-	// used are the candidates with a record of their own, by incarnation: a process that started again under its id has nothing of what the one
-	// before it held, had waiting or had shown of its speed.
-	used map[string]*candidate
-	// unused is the record of all others; nothing is written to it.
-	unused *record
-	// onChange is called when the other nodes should know of a change.
+	nodeCount  int
+	// evacuatedDomains are the failure domains whose endpoints get no requests.
+	evacuatedDomains []string
+	// byID holds the candidate of each endpoint by id.
+	byID map[string]*candidate
+	// recorded holds the candidates with a record of their own by incarnation: a process that restarted under the same
+	// id has none of the cache contents, queue or measured speed of the former one.
+	recorded map[string]*candidate
+	// emptyRecord is shared by all other candidates and stays empty.
+	emptyRecord *record
+	// onChange is called when there is a change to report to the other nodes.
 	onChange func()
-	// dropped is when records were last dropped.
-	dropped time.Time
-	// ordered are the candidates by incarnation, so that a choice among hundreds sorts nothing.
-	ordered []*candidate
-	// forecast predicts times to first events.
-	forecast forecast
-	// beside is the learnt longest pause of streams beside long reads on an engine of usual speed, in milliseconds; 0 before the first.
-	beside float64
-	// promise is the pause that the tight streams promise, as the last one did.
-	promise time.Duration
-	// random draws the engines to weigh in a large pool.
-	random *rand.Rand
-	// promises are the places that this node took for others and that those have not told of yet.
-	promises []promise
-	// reads are the prompts that the other nodes have not been told of.
-	reads []Read
+	// prunedAt is when idle records were last dropped.
+	prunedAt time.Time
+	// sorted holds the candidates in the order of their incarnations, so that a choice among hundreds does not have to
+	// sort them.
+	sorted []*candidate
+	// ttft predicts the time to the first event.
+	ttft ttftPredictor
+	// prefillPauseMs is the learnt pause of streams that run beside a long prefill on an engine of average speed, in
+	// milliseconds; 0 before the first measurement.
+	prefillPauseMs float64
+	// sensitivePause is the longest pause allowed to the latest latency-sensitive request; it is assumed for all
+	// others.
+	sensitivePause time.Duration
+	// rng makes all random choices of the pool, so that they follow from one seed.
+	rng *rand.Rand
+	// pendingGrants are the places granted to other nodes that have not reported them yet.
+	pendingGrants []pendingGrant
+	// unreportedPrefills are the prompts sent to engines that have not been reported to the other nodes.
+	unreportedPrefills []Read
 }
 
-// NewPool returns a pool without endpoints, seen from a failure domain.
+// NewPool returns a pool without endpoints for a node in the given failure domain.
 func NewPool(domain string) *Pool {
 	return NewSeededPool(domain, rand.Uint64())
 }
 
-// NewSeededPool returns a pool whose draws follow from a seed, so that an experiment can be repeated.
+// NewSeededPool returns a pool whose random choices follow from a seed, so that an experiment can be repeated.
 func NewSeededPool(domain string, seed uint64) *Pool {
-	return &Pool{domain: domain, onChange: func() {}, present: make(map[string]*candidate), used: make(map[string]*candidate), unused: newRecord(0), forecast: newForecast(), random: rand.New(rand.NewPCG(seed, 0))}
+	return &Pool{localDomain: domain, onChange: func() {}, byID: make(map[string]*candidate), recorded: make(map[string]*candidate), emptyRecord: newRecord(0), ttft: newTTFTPredictor(), rng: rand.New(rand.NewPCG(seed, 0))}
 }
 
-// OnChange takes what is called when a request begins, gets its first event or ends; it must not block, and is set before the first request.
-func (p *Pool) OnChange(changed func()) { p.onChange = changed }
+// OnChange sets the function that is called when there is a change to report to the other nodes, such as the start, the
+// first event or the end of a request. The function must not block, and must be set before the first request.
+func (p *Pool) OnChange(callback func()) { p.onChange = callback }
 
-// SetEngine takes what the engines of the pool can hold; zero for plain services.
+// SetEngine sets the capacity of the pool's engines; zero for plain services.
 func (p *Pool) SetEngine(engine chivetable.Engine) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.engine = engine
-	p.unused.cache.setRoom(engine.CacheTokens)
-	for _, s := range p.used {
-		s.cache.setRoom(engine.CacheTokens)
+	p.emptyRecord.cache.setCapacity(engine.CacheTokens)
+	for _, cand := range p.recorded {
+		cand.cache.setCapacity(engine.CacheTokens)
 	}
 }
 
-// SetEvacuated takes the failure domains whose endpoints get nothing.
+// SetEvacuated sets the failure domains whose endpoints get no requests.
 func (p *Pool) SetEvacuated(domains []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.evacuated = domains
+	p.evacuatedDomains = domains
 }
 
-// SetEndpoints takes all endpoints of the pool; what is known of those that stay is kept.
+// SetEndpoints sets the endpoints of the pool and keeps what is known about those that stay.
 func (p *Pool) SetEndpoints(endpoints []chivedirectory.Endpoint) {
 	p.mu.Lock()
-	before := make([]chivedirectory.Endpoint, 0, len(p.ordered))
-	for _, s := range p.ordered {
-		before = append(before, s.endpoint)
+	before := make([]chivedirectory.Endpoint, 0, len(p.sorted))
+	for _, cand := range p.sorted {
+		before = append(before, cand.endpoint)
 	}
 	p.mu.Unlock()
 	p.ApplyEndpoints(chivedirectory.DiffOf(before, endpoints))
 }
 
-// ApplyEndpoints takes a change of the endpoints of the pool.
+// ApplyEndpoints applies a change of the directory to the endpoints of the pool.
 func (p *Pool) ApplyEndpoints(diff chivedirectory.Diff) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -156,132 +164,135 @@
 		p.remove(e.ID)
 	}
 	for _, e := range diff.Changed {
-		s, ok := p.present[e.ID]
-		if !ok || s.endpoint.Born != e.Born {
-			if p.learned.IsZero() {
-				p.learned = time.Now()
+		cand, ok := p.byID[e.ID]
+		if !ok || cand.endpoint.Born != e.Born {
+			if p.firstEndpointAt.IsZero() {
+				p.firstEndpointAt = time.Now()
 			}
-			started := ok || time.Since(p.learned) > startsFor
-			// The process before it is over.
+			started := ok || time.Since(p.firstEndpointAt) > discoveryWindow
+			// A former process under this id has ended.
 			p.remove(e.ID)
-			s = &candidate{endpoint: e, incarnation: e.Incarnation().Key(), hash: HashID(e.ID), started: started, record: p.unused}
-			p.add(s)
+			cand = &candidate{endpoint: e, incarnation: e.Incarnation().Key(), idHash: HashID(e.ID), startedEmpty: started, record: p.emptyRecord}
+			p.add(cand)
 		}
-		s.setEndpoint(time.Now(), e)
+		cand.setEndpoint(time.Now(), e)
 	}
 }
 
 // add adds a candidate; the caller holds the lock.
-func (p *Pool) add(s *candidate) {
-	at, _ := p.find(s.incarnation)
-	p.ordered = slices.Insert(p.ordered, at, s)
-	p.present[s.endpoint.ID] = s
+func (p *Pool) add(cand *candidate) {
+	at, _ := p.position(cand.incarnation)
+	p.sorted = slices.Insert(p.sorted, at, cand)
+	p.byID[cand.endpoint.ID] = cand
 }
 
-// remove removes the candidate of an endpoint, by id; the caller holds the lock.
+// remove removes the candidate of an endpoint id; the caller holds the lock.
 func (p *Pool) remove(id string) {
-	s, ok := p.present[id]
+	cand, ok := p.byID[id]
 	if !ok {
 		return
 	}
-	if s.record != p.unused {
-		s.removed = time.Now()
+	if cand.record != p.emptyRecord {
+		cand.removedAt = time.Now()
 	}
-	if at, found := p.find(s.incarnation); found {
-		p.ordered = slices.Delete(p.ordered, at, at+1)
+	if at, found := p.position(cand.incarnation); found {
+		p.sorted = slices.Delete(p.sorted, at, at+1)
 	}
-	delete(p.used, s.incarnation)
-	delete(p.present, id)
+	delete(p.recorded, cand.incarnation)
+	delete(p.byID, id)
 }
 
-// candidate returns the candidate of an incarnation; the caller holds the lock.
-func (p *Pool) candidate(incarnation string) (*candidate, bool) {
-	s, ok := p.present[chivedirectory.IDOf(incarnation)]
-	return s, ok && s.incarnation == incarnation
+// lookup returns the candidate of an incarnation; the caller holds the lock.
+func (p *Pool) lookup(incarnation string) (*candidate, bool) {
+	cand, ok := p.byID[chivedirectory.IDOf(incarnation)]
+	return cand, ok && cand.incarnation == incarnation
 }
 
-// use gives a candidate a record of its own, before anything is noted of it; the caller holds the lock.
-func (p *Pool) use(now time.Time, s *candidate) {
-	if s.record == p.unused {
-		s.record = newRecord(p.engine.CacheTokens)
-		if _, present := p.candidate(s.incarnation); present {
-			p.used[s.incarnation] = s
+// ensureRecord gives a candidate a record of its own, before the first write to it; the caller holds the lock.
+func (p *Pool) ensureRecord(now time.Time, cand *candidate) {
+	if cand.record == p.emptyRecord {
+		cand.record = newRecord(p.engine.CacheTokens)
+		if _, present := p.lookup(cand.incarnation); present {
+			p.recorded[cand.incarnation] = cand
 		}
 	}
-	s.lastUsed = now
+	cand.lastUsedAt = now
 }
 
-// Records returns the number of endpoints that the pool knows more of than their registration.
+// Records returns the number of endpoints with a record of their own.
 func (p *Pool) Records() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.used)
+	return len(p.recorded)
 }
 
 const (
-	// recordsKept is how many records a pool keeps however long they are not in use.
-	recordsKept = 512
-	// recordIdle is how long a record has to be out of use to be dropped above that: an engine has read other parts meanwhile.
-	recordIdle = time.Minute
+	// pruneThreshold is the number of records up to which a pool keeps idle ones.
+	pruneThreshold = 512
+	// recordIdleTimeout is how long a record must have been unused to be dropped; by then the engine has cached other
+	// prompts.
+	recordIdleTimeout = time.Minute
 )
 
-// dropIdle drops records that have long not been in use where there are many; the caller holds the lock.
-func (p *Pool) dropIdle(now time.Time) {
-	if len(p.used) <= recordsKept || now.Sub(p.dropped) < recordIdle {
+// pruneIdleRecords drops long unused records if there are many; the caller holds the lock.
+func (p *Pool) pruneIdleRecords(now time.Time) {
+	if len(p.recorded) <= pruneThreshold || now.Sub(p.prunedAt) < recordIdleTimeout {
 		return
 	}
-	p.dropped = now
-	for incarnation, s := range p.used {
-		if s.isIdle(now) && now.Sub(s.lastUsed) > recordIdle {
-			s.record = p.unused
-			delete(p.used, incarnation)
+	p.prunedAt = now
+	for incarnation, cand := range p.recorded {
+		if cand.isIdle(now) && now.Sub(cand.lastUsedAt) > recordIdleTimeout {
+			cand.record = p.emptyRecord
+			delete(p.recorded, incarnation)
 		}
 	}
 }
 
-// find returns where a candidate is, or would be, in the order.
-func (p *Pool) find(incarnation string) (at int, found bool) {
-	return slices.BinarySearchFunc(p.ordered, incarnation, func(s *candidate, incarnation string) int { return strings.Compare(s.incarnation, incarnation) })
+// position returns the index of an incarnation in sorted, or the one to insert it at.
+func (p *Pool) position(incarnation string) (at int, found bool) {
+	return slices.BinarySearchFunc(p.sorted, incarnation, func(cand *candidate, incarnation string) int { return strings.Compare(cand.incarnation, incarnation) })
 }
 
-// Has reports whether an endpoint, by id, is in the pool.
+// Has reports whether an endpoint id is in the pool.
 func (p *Pool) Has(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_, ok := p.present[id]
+	_, ok := p.byID[id]
 	return ok
 }
 
-// startsFor is how long after the first endpoint a node takes the endpoints that it learns of for ones that have run before. It learns of all of them
-// within some hundred milliseconds, which may begin seconds after its own start. One that comes later has just started and holds nothing.
-const startsFor = 3 * time.Second
+// discoveryWindow is how long after the first endpoint the endpoints that a node discovers are assumed to have run
+// before. A node discovers all of them within some hundred milliseconds, which may begin seconds after its own start.
+// An endpoint that appears later has just started with an empty cache.
+const discoveryWindow = 3 * time.Second
 
-// TakeUnasked returns ready endpoints, at most a number of them, whose cache may hold something and that were not returned before; among names
-// some by id, nil stands for all.
-func (p *Pool) TakeUnasked(among []string, most int) []chivedirectory.Endpoint {
+// TakeUnasked returns up to limit ready endpoints whose caches may hold something and that it has not returned before,
+// for the caller to query their cache contents. The ids limit the search; nil allows all endpoints.
+func (p *Pool) TakeUnasked(ids []string, limit int) []chivedirectory.Endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var unasked []chivedirectory.Endpoint
-	for _, s := range p.among(Ask{Among: among}) {
-		if len(unasked) == most {
+	var endpoints []chivedirectory.Endpoint
+	for _, cand := range p.allowedCandidates(Ask{Among: ids}) {
+		if len(endpoints) == limit {
 			break
 		}
-		if s.asked || s.started || s.endpoint.State != chivedirectory.Ready {
+		if cand.cacheQueried || cand.startedEmpty || cand.endpoint.State != chivedirectory.Ready {
 			continue
 		}
-		s.asked = true
-		unasked = append(unasked, s.endpoint)
+		cand.cacheQueried = true
+		endpoints = append(endpoints, cand.endpoint)
 	}
-	return unasked
+	return endpoints
 }
 
-// Reconcile takes the parts that an engine, by its incarnation, says it holds, and returns their tokens; parts of incarnations that are not known are dropped.
-func (p *Pool) Reconcile(endpoint string, parts []chiverequest.Part) (tokens int64) {
+// Reconcile adds the prompt parts that an engine reports as cached, and returns their number of tokens. Reports of
+// unknown incarnations are ignored.
+func (p *Pool) Reconcile(incarnation string, parts []chiverequest.Part) (tokens int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if s, ok := p.candidate(endpoint); ok {
-		p.use(time.Now(), s)
-		return s.cache.reconcile(parts)
+	if cand, ok := p.lookup(incarnation); ok {
+		p.ensureRecord(time.Now(), cand)
+		return cand.cache.merge(parts)
 	}
 	return 0
 }
@@ -294,164 +305,168 @@
 	if err != nil {
 		return nil, err
 	}
-	p.hold(now, place, ask.Prompt)
+	p.countOwn(now, place, ask.Prompt)
 	if ask.Prompt != nil {
-		p.reads = append(p.reads, Read{Endpoint: place.candidate.incarnation, Parts: ask.Prompt.Parts, Fetched: place.fetches})
+		p.unreportedPrefills = append(p.unreportedPrefills, Read{Endpoint: place.candidate.incarnation, Parts: ask.Prompt.Parts, Fetched: place.fetchTokens})
 	}
 	return place, nil
 }
 
-// hold counts a place among this node's own.
-func (p *Pool) hold(now time.Time, place *Place, prompt *chiverequest.Prompt) {
-	s := place.candidate
-	p.use(now, s)
+// countOwn adds a place to this node's own load.
+func (p *Pool) countOwn(now time.Time, place *Place, prompt *chiverequest.Prompt) {
+	cand := place.candidate
+	p.ensureRecord(now, cand)
 	if prompt != nil {
-		s.begin(now, place)
-		s.cache.touch(prompt.Parts, now.Add(place.expected))
+		cand.addRequest(now, place)
+		cand.cache.touch(prompt.Parts, now.Add(place.expectedTTFT))
 	}
-	s.own++
-	s.dirty = true
+	cand.ownRequests++
+	cand.dirty = true
 	p.onChange()
 }
 
-// choose finds the best place for a request and counts it nowhere yet.
+// choose returns the best place for a request without adding it to the load.
 func (p *Pool) choose(now time.Time, ask Ask) (*Place, error) {
-	usable, present := p.usable(now, ask)
+	usable, ready := p.usableCandidates(now, ask)
 	if len(usable) == 0 {
 		switch {
-		case present == 0 && ask.Domains.IsLimited():
-			return nil, &RefusedError{Reason: "no endpoint of the pool is known in the allowed regions", RetryAfter: retryWhenNone}
-		case present == 0 && len(p.evacuated) > 0:
-			return nil, &RefusedError{Reason: "no endpoint of the pool is known outside the evacuated failure domains", RetryAfter: retryWhenNone}
-		case present == 0:
-			return nil, &RefusedError{Reason: "no endpoint of the pool is known", RetryAfter: retryWhenNone}
+		case ready == 0 && ask.Domains.IsLimited():
+			return nil, &RefusedError{Reason: "no endpoint of the pool is known in the allowed regions", RetryAfter: retryAfterNoEndpoint}
+		case ready == 0 && len(p.evacuatedDomains) > 0:
+			return nil, &RefusedError{Reason: "no endpoint of the pool is known outside the evacuated failure domains", RetryAfter: retryAfterNoEndpoint}
+		case ready == 0:
+			return nil, &RefusedError{Reason: "no endpoint of the pool is known", RetryAfter: retryAfterNoEndpoint}
 		}
-		return nil, &RefusedError{Reason: "no endpoint of the pool has a free place", RetryAfter: retryWhenFull}
+		return nil, &RefusedError{Reason: "no endpoint of the pool has a free place", RetryAfter: retryAfterFull}
 	}
-	place := p.cheapest(now, usable, ask)
+	place := p.placeOnCheapest(now, usable, ask)
 	best := place.candidate
 	if ask.Prompt != nil {
 		place.rank = ask.Prompt.Rank
-		place.ahead = best.waitingFor(place.rank)
-		place.expected = chivetime.Milliseconds(p.forecast.first(place.work()) * best.speed())
-		if refused := p.admit(ask.Prompt, p.forecast.waiting(place.ahead)*best.speed(), place.expected); refused != nil {
-			refused.Holder, refused.Held = place.holder, place.held
+		place.queuedAhead = best.queuedAhead(place.rank)
+		place.expectedTTFT = chivetime.Milliseconds(p.ttft.predict(place.prefillWork()) * best.slowdown())
+		if refused := p.admit(ask.Prompt, p.ttft.queuedMs(place.queuedAhead)*best.slowdown(), place.expectedTTFT); refused != nil {
+			refused.Holder, refused.Held = place.holderAddress, place.holderTokens
 			return nil, refused
 		}
-		if place.tight = p.isTight(ask.Prompt); place.tight {
-			p.promise = ask.Prompt.Pause
+		if place.latencySensitive = p.isLatencySensitive(ask.Prompt); place.latencySensitive {
+			p.sensitivePause = ask.Prompt.Pause
 		}
 	}
-	if ask.Most > 0 && place.loss > ask.Most+place.perMs*p.forecast.own(float64(ask.MostReads)) {
+	if ask.Most > 0 && place.loss > ask.Most+place.lossPerMs*p.ttft.prefillMs(float64(ask.MostReads)) {
 		return nil, &RefusedError{
-			Reason: "other engines may cost less", RetryAfter: comeBackLeast, Loss: place.loss, Holder: place.holder, Held: place.held,
+			Reason: "other engines may cost less", RetryAfter: minRetryAfter, Loss: place.loss, Holder: place.holderAddress, Held: place.holderTokens,
 		}
 	}
-	if p.warmsUp(now, best) {
-		best.warming.taken = now
+	if p.isWarmingUp(now, best) {
+		best.warmUp.lastPlacedAt = now
 	}
 	return place, nil
 }
 
-// usable returns the candidates that can take a request, in order of id, and how many endpoints there are at all. When all of
-// those with room are passed over for earlier failures, they are better than none.
-func (p *Pool) usable(now time.Time, ask Ask) (usable []*candidate, present int) {
-	among := p.among(ask)
-	usable = make([]*candidate, 0, len(among))
-	slots := slotsFor(p.engine.Slots, ask.Prompt)
-	var suspect []*candidate
-	for _, s := range among {
-		if s.endpoint.State != chivedirectory.Ready || slices.Contains(p.evacuated, s.endpoint.FailureDomain) || !ask.Domains.Contains(s.endpoint.FailureDomain) {
+// usableCandidates returns the candidates that can take a request, and the number of ready endpoints in failure domains
+// that are allowed and not evacuated. If all candidates with capacity are ejected, it returns these: trying them is
+// better than refusing.
+func (p *Pool) usableCandidates(now time.Time, ask Ask) (usable []*candidate, ready int) {
+	allowed := p.allowedCandidates(ask)
+	usable = make([]*candidate, 0, len(allowed))
+	slots := slotLimit(p.engine.Slots, ask.Prompt)
+	var ejected []*candidate
+	for _, cand := range allowed {
+		if cand.endpoint.State != chivedirectory.Ready || slices.Contains(p.evacuatedDomains, cand.endpoint.FailureDomain) || !ask.Domains.Contains(cand.endpoint.FailureDomain) {
 			continue
 		}
-		present++
-		if (slots > 0 && s.load() >= slots) || slices.Contains(ask.Exclude, s.incarnation) {
+		ready++
+		if (slots > 0 && cand.load() >= slots) || slices.Contains(ask.Exclude, cand.incarnation) {
 			continue
 		}
 		switch {
-		case p.warmsUp(now, s) && !p.mayWarm(now, s, ask):
-		case s.usable(now):
-			usable = append(usable, s)
+		case p.isWarmingUp(now, cand) && !p.warmUpAllows(now, cand, ask):
+		case cand.isUsable(now):
+			usable = append(usable, cand)
 		default:
-			suspect = append(suspect, s)
+			ejected = append(ejected, cand)
 		}
 	}
 	if len(usable) == 0 {
-		usable = suspect
+		usable = ejected
 	}
-	return usable, present
+	return usable, ready
 }
 
-// among returns the candidates that a request may be placed on, by id; an owner's part of a pool of thousands is looked up, not searched.
-func (p *Pool) among(ask Ask) []*candidate {
+// allowedCandidates returns the candidates that an ask is limited to. An owner's share of a pool of thousands is looked
+// up by id, without a scan of the pool.
+func (p *Pool) allowedCandidates(ask Ask) []*candidate {
 	if ask.Among == nil {
-		return p.ordered
+		return p.sorted
 	}
 	candidates := make([]*candidate, 0, len(ask.Among))
 	for _, id := range ask.Among {
-		if s, ok := p.present[id]; ok {
-			candidates = append(candidates, s)
+		if cand, ok := p.byID[id]; ok {
+			candidates = append(candidates, cand)
 		}
 	}
 	return candidates
 }
 
-// cheapest makes a place on the candidate with the least cost, and notes the next best.
-func (p *Pool) cheapest(now time.Time, candidates []*candidate, ask Ask) *Place {
-	place := &Place{pool: p, began: now, domains: ask.Domains, candidates: len(candidates), reason: "least expected time", loss: math.Inf(1), nextLoss: math.Inf(1)}
+// placeOnCheapest returns a place on the candidate with the lowest cost.
+func (p *Pool) placeOnCheapest(now time.Time, candidates []*candidate, ask Ask) *Place {
+	place := &Place{pool: p, startedAt: now, domains: ask.Domains, candidateCount: len(candidates), reason: "least expected time", loss: math.Inf(1), nextLoss: math.Inf(1)}
 	if ask.Prompt != nil && p.engine.Slots > 0 {
-		p.cheapestEngine(now, place, candidates, ask)
+		p.chooseEngine(now, place, candidates, ask)
 		return place
 	}
-	// Nodes with few requests see the same cost at most endpoints; from the same first one on they would all take the same.
-	first := p.random.IntN(len(candidates))
+	// The scan starts at a random candidate: nodes with few requests see equal costs at most endpoints, and would all
+	// choose the first of them.
+	start := p.rng.IntN(len(candidates))
 	for i := range candidates {
-		s := candidates[(first+i)%len(candidates)]
-		place.weigh(s, p.plainCost(now, s))
+		cand := candidates[(start+i)%len(candidates)]
+		place.consider(cand, p.plainServiceCost(now, cand))
 	}
 	return place
 }
 
-// cheapestEngine puts a place on the engine with the least expected loss.
-func (p *Pool) cheapestEngine(now time.Time, place *Place, candidates []*candidate, ask Ask) {
+// chooseEngine fills in the place for the engine with the lowest expected loss.
+func (p *Pool) chooseEngine(now time.Time, place *Place, candidates []*candidate, ask Ask) {
 	choice := p.newEngineChoice(now, candidates, ask)
-	for _, s := range choice.sample(candidates) {
-		place.weigh(s, choice.cost(now, s))
+	for _, cand := range choice.sample(candidates) {
+		place.consider(cand, choice.cost(now, cand))
 	}
 	place.reason = "least expected loss"
-	place.perMs = choice.perMs
-	place.reads, place.fetches, place.again = choice.split(place.candidate)
-	place.input = ask.Prompt.Input
+	place.lossPerMs = choice.lossPerMs
+	place.prefillTokens, place.fetchTokens, place.recomputeTokens = choice.splitPrompt(place.candidate)
+	place.promptTokens = ask.Prompt.Input
 	if choice.holder != nil {
-		place.holder, place.held = choice.holder.endpoint.Address, choice.read
+		place.holderAddress, place.holderTokens = choice.holder.endpoint.Address, choice.holderTokens
 	}
-	if place.fetches > 0 {
-		place.fetchFrom = place.holder
+	if place.fetchTokens > 0 {
+		place.fetchFrom = place.holderAddress
 	}
 }
 
-// plainCost is the expected time to an answer of a plain service.
-func (p *Pool) plainCost(now time.Time, s *candidate) float64 {
-	cost := float64(s.load()+1) * s.slowness(now, usualTook) * (1 + errorWeight*s.errors)
-	if s.endpoint.FailureDomain != p.domain {
-		cost *= farAway
+// plainServiceCost returns the expected response time of a replica of a plain service, increased for errors and for a
+// remote failure domain.
+func (p *Pool) plainServiceCost(now time.Time, cand *candidate) float64 {
+	cost := float64(cand.load()+1) * cand.expectedResponseTime(now, defaultResponseTime) * (1 + errorCostFactor*cand.errorRate)
+	if cand.endpoint.FailureDomain != p.localDomain {
+		cost *= remoteDomainFactor
 	}
 	return cost
 }
 
-// HashID returns what Weigh takes in place of an id.
+// HashID returns the hash of an endpoint id that Weigh expects.
 func HashID(id string) uint64 { return xxhash.Sum64String(id) }
 
-// Weigh returns the weight of an endpoint, by the hash of its id, for a part. A pool of thousands is weighed for each request, so
-// this is a few operations (the finish of splitmix64).
-func Weigh(hash, part uint64) uint64 {
-	x := hash ^ part*0x9e3779b97f4a7c15
+// Weigh returns the rendezvous hash weight of an endpoint, given by the hash of its id, for a prompt part. A request
+// may weigh all endpoints of a pool of thousands, so this takes only a few operations (the finalizer of splitmix64).
+func Weigh(idHash, part uint64) uint64 {
+	x := idHash ^ part*0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// EndpointState is the dump of one endpoint.
+// EndpointState is the state of one endpoint for debugging output.
 type EndpointState struct {
 	Endpoint string `json:"endpoint"`
 	Address  string `json:"address"`
@@ -466,15 +481,15 @@
 	Down          bool    `json:"passed_over"`
 }
 
-// States returns what is known of each endpoint, by id.
+// States returns what is known about each endpoint, in the order of their incarnations.
 func (p *Pool) States(now time.Time) []EndpointState {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	states := make([]EndpointState, 0, len(p.ordered))
-	for _, s := range p.ordered {
+	states := make([]EndpointState, 0, len(p.sorted))
+	for _, cand := range p.sorted {
 		states = append(states, EndpointState{
-			Endpoint: s.incarnation, Address: s.endpoint.Address, FailureDomain: s.endpoint.FailureDomain, Ready: s.endpoint.State == chivedirectory.Ready, Own: s.own, Others: s.others,
-			Waiting: s.waitingTokens(), Errors: s.errors, TookMs: s.took * 1000, Down: now.Before(s.downUntil),
+			Endpoint: cand.incarnation, Address: cand.endpoint.Address, FailureDomain: cand.endpoint.FailureDomain, Ready: cand.endpoint.State == chivedirectory.Ready, Own: cand.ownRequests, Others: cand.otherRequests,
+			Waiting: cand.queuedTokens(), Errors: cand.errorRate, TookMs: cand.responseTime * 1000, Down: now.Before(cand.ejectedUntil),
 		})
 	}
 	return states
--- a/chiveplace/report.go
+++ b/chiveplace/report.go
@@ -9,27 +9,28 @@
 	"chivedrift/chivetime"
 )
 
-// Report is what one node tells the others of its requests.
+// Report tells other nodes about one node's requests.
 type Report struct {
-	// All tells that endpoints which are not named have none of the node's requests.
+	// All means that the node has no requests on endpoints that Loads does not list.
 	All bool
-	// Granted is the newest grant of the one who is told that the node has taken.
+	// Granted is the number of the latest grant of the receiving node that the sender has taken.
 	Granted uint64
 	Loads   []Load
 	Reads   []Read
 }
 
-// Load is how much a node has on one endpoint.
+// Load is the load of one node on one endpoint.
 type Load struct {
-	// Endpoint names the incarnation of the endpoint, so that a report on a process that has ended does not count for the one that follows.
+	// Endpoint is the key of the endpoint's incarnation, so that a report about a process that has ended does not count
+	// for its successor.
 	Endpoint string
 	Requests int
-	// Waiting is the number of prompt tokens of the requests that have not begun to answer, by rank.
+	// Waiting is the number of prompt tokens of the requests without a first event, by rank.
 	Waiting []int64
-	// Tight is how many of the requests are streams whose pauses a long read spoils, Long the waiting tokens of long reads.
+	// Tight is the number of latency-sensitive streams, Long the number of queued tokens of long prefills.
 	Tight int
 	Long  int64
-	// Pause is the running pause between the events of the streams there.
+	// Pause is the moving average of the pause between events of the streams there.
 	Pause time.Duration
 }
 
@@ -37,109 +38,109 @@
 type Read struct {
 	Endpoint string
 	Parts    []chiverequest.Part
-	// Fetched is how many of their tokens the endpoint fetched from another one.
+	// Fetched is how many of the parts' tokens the endpoint fetches from another one.
 	Fetched int64
 }
 
-// Empty reports whether there is nothing to tell.
+// Empty reports whether the report says nothing.
 func (r *Report) Empty() bool { return !r.All && len(r.Loads) == 0 && len(r.Reads) == 0 }
 
-// Collect appends what changed since the last call, or everything, to what is told to the other nodes.
+// Collect appends to a report what changed since the last call, or all of the node's load.
 func (p *Pool) Collect(report *Report, all bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var changed []*candidate
-	for _, s := range p.used {
-		if s.dirty || all && s.own > 0 {
-			changed = append(changed, s)
+	for _, cand := range p.recorded {
+		if cand.dirty || all && cand.ownRequests > 0 {
+			changed = append(changed, cand)
 		}
 	}
 	slices.SortFunc(changed, func(a, b *candidate) int { return strings.Compare(a.incarnation, b.incarnation) })
-	for _, s := range changed {
-		s.dirty = false
-		s.told = s.pause.value
+	for _, cand := range changed {
+		cand.dirty = false
+		cand.reportedPause = cand.ownPause.value
 		report.Loads = append(report.Loads, Load{
-			Pause: s.told.Round(time.Millisecond), Endpoint: s.incarnation, Requests: s.own, Waiting: s.ownWaiting.trimmed(), Tight: s.ownTight, Long: s.ownLong,
+			Pause: cand.reportedPause.Round(time.Millisecond), Endpoint: cand.incarnation, Requests: cand.ownRequests, Waiting: cand.ownQueued.trimmed(), Tight: cand.ownSensitive, Long: cand.ownLongQueued,
 		})
 	}
-	report.Reads = append(report.Reads, p.reads...)
-	p.reads = nil
-	p.dropIdle(time.Now())
+	report.Reads = append(report.Reads, p.unreportedPrefills...)
+	p.unreportedPrefills = nil
+	p.pruneIdleRecords(time.Now())
 }
 
-// Hear takes what another node told, as far as it is about this pool's endpoints.
+// Hear applies another node's report to the endpoints of this pool.
 func (p *Pool) Hear(now time.Time, node string, report *Report) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.fulfil(node, report.Granted)
+	p.settleGrants(node, report.Granted)
 	if report.All {
-		for _, s := range p.used {
-			s.setOther(node, Load{})
+		for _, cand := range p.recorded {
+			cand.setNodeLoad(node, Load{})
 		}
 	}
-	for _, l := range report.Loads {
-		if s, ok := p.candidate(l.Endpoint); ok {
-			p.use(now, s)
-			s.setOther(node, l)
-			s.hearPause(now, l.Pause)
+	for _, load := range report.Loads {
+		if cand, ok := p.lookup(load.Endpoint); ok {
+			p.ensureRecord(now, cand)
+			cand.setNodeLoad(node, load)
+			cand.mergeReportedPause(now, load.Pause)
 		}
 	}
-	for _, r := range report.Reads {
-		if s, ok := p.candidate(r.Endpoint); ok {
-			p.use(now, s)
-			missing := max(s.cache.missingOf(r.Parts)-r.Fetched, 0)
-			s.demand.note(now, p.forecast.own(float64(missing))*s.speed())
-			if missing > chunkTokens {
-				s.noteLong(now, missing)
+	for _, prefill := range report.Reads {
+		if cand, ok := p.lookup(prefill.Endpoint); ok {
+			p.ensureRecord(now, cand)
+			missing := max(cand.cache.missingPartTokens(prefill.Parts)-prefill.Fetched, 0)
+			cand.demand.addPrompt(now, p.ttft.prefillMs(float64(missing))*cand.slowdown())
+			if missing > prefillChunkTokens {
+				cand.addLongPrefill(now, missing)
 			}
-			s.cache.touch(r.Parts, now.Add(chivetime.Milliseconds(p.forecast.first(work{reads: missing})*s.speed())))
+			cand.cache.touch(prefill.Parts, now.Add(chivetime.Milliseconds(p.ttft.predict(prefillWork{prefillTokens: missing})*cand.slowdown())))
 		}
 	}
 }
 
-// Forget drops the requests of nodes that are not alive: nobody would ever tell that they ended.
+// Forget drops the load of nodes that are not alive, since their requests are never reported as ended.
 func (p *Pool) Forget(alive map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.promises = slices.DeleteFunc(p.promises, func(m promise) bool {
-		if !alive[m.node] {
-			m.drop()
+	p.pendingGrants = slices.DeleteFunc(p.pendingGrants, func(g pendingGrant) bool {
+		if !alive[g.node] {
+			g.drop()
 		}
-		return !alive[m.node]
+		return !alive[g.node]
 	})
-	for _, s := range p.used {
-		for node := range s.byNode {
-			if !alive[node] && !isPromise(node) {
-				s.setOther(node, Load{})
+	for _, cand := range p.recorded {
+		for node := range cand.loadByNode {
+			if !alive[node] && !isPendingGrantKey(node) {
+				cand.setNodeLoad(node, Load{})
 			}
 		}
 	}
 }
 
-// Release drops what other nodes have on endpoints that this node does not keep: they tell somebody else of it now.
-func (p *Pool) Release(kept func(endpoint string) bool) {
+// Release drops the load of other nodes on endpoints that this node does not own: it is now reported to other owners.
+func (p *Pool) Release(isOwned func(incarnation string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for id, s := range p.used {
-		if len(s.byNode) == 0 || kept(id) {
+	for incarnation, cand := range p.recorded {
+		if len(cand.loadByNode) == 0 || isOwned(incarnation) {
 			continue
 		}
-		for node := range s.byNode {
-			s.setOther(node, Load{})
+		for node := range cand.loadByNode {
+			cand.setNodeLoad(node, Load{})
 		}
 	}
 }
 
-// setOther replaces what another node has on the endpoint.
-func (s *candidate) setOther(node string, l Load) {
-	before := s.byNode[node]
-	s.others += l.Requests - before.Requests
-	s.othersWaiting = s.othersWaiting.replace(before.Waiting, l.Waiting)
-	s.othersTight += l.Tight - before.Tight
-	s.othersLong += l.Long - before.Long
-	if l.Requests == 0 {
-		delete(s.byNode, node)
+// setNodeLoad replaces the load of another node on the endpoint.
+func (c *candidate) setNodeLoad(node string, load Load) {
+	before := c.loadByNode[node]
+	c.otherRequests += load.Requests - before.Requests
+	c.otherQueued = c.otherQueued.replace(before.Waiting, load.Waiting)
+	c.otherSensitive += load.Tight - before.Tight
+	c.otherLongQueued += load.Long - before.Long
+	if load.Requests == 0 {
+		delete(c.loadByNode, node)
 		return
 	}
-	s.byNode[node] = l
+	c.loadByNode[node] = load
 }
--- a/chiveplace/tight.go
+++ b/chiveplace/tight.go
@@ -7,108 +7,121 @@
 	"chivedrift/chiverequest"
 )
 
-// An engine reads a chunk of a long prompt between two tokens of the streams beside it, and an event of a stream holds several tokens:
-// a stream beside a long read pauses for several chunks. Streams that promise shorter pauses are kept together on as few engines
-// as can take them, and long reads on the others. On virtual time that raised what drafts beside questions attain from 0.77 to
-// 0.87 of their worth (examples/experiments); without any separation the questions attain half.
+// An engine prefills a chunk of a long prompt between two tokens of the streams that run beside it. An event of a
+// stream holds several tokens, so a stream beside a long prefill pauses for several chunks. Streams whose routes
+// promise shorter pauses are latency-sensitive: they are placed together on as few engines as possible, and long
+// prefills on the others. In simulations on virtual time (examples/experiments) this raised what drafts that run beside
+// questions attain from 0.77 to 0.87 of their worth; without any separation the questions attain half.
 
 const (
-	// chunkTokens is the usual number of prompt tokens that an engine reads between two tokens of the running requests; a read above it
-	// is a long one.
-	chunkTokens = 2048
-	// firstBeside is the first guess at the time of a step that reads a whole chunk, in milliseconds.
-	firstBeside = 66.0
-	// besideQuantile is the part of the streams beside long reads whose longest pause is no longer than the learnt one; besideStep is the
-	// part by which one stream moves it, so that some dozens do.
-	besideQuantile = 0.8
-	besideStep     = 0.02
-	// pauseSafe and pauseSpoiled bound the ramp of the chance to be late by a pause, as the share that the learnt pause has of the promised
-	// one. It is learnt where long reads come one at a time, as far as they are kept apart; where they come in a row pauses are twice as
-	// long. With a ramp from 0.8 to 1.2 a sixth to a third of the tight streams was late by a pause, with this one 4 to 8 in 100.
-	pauseSafe    = 0.3
-	pauseSpoiled = 0.5
-	// tightChance is the chance to be late by a pause beside a long read from which a stream counts as tight.
-	tightChance = 0.1
-	// harmTokens is the length of a read that spoils the streams beside it for sure; a shorter one meets fewer of their events. Eight
-	// chunks take some 0.4 s at 40 tokens a millisecond.
-	harmTokens = 8 * chunkTokens
-	// openLoss is the loss for the first tight stream on an engine: from then on long reads keep away from it, so the next ones should join
-	// it. On virtual time drafts beside questions attain 0.012 more with 0.3 than with 0.1, and 0.001 more with 0.8.
-	openLoss = 0.3
-	// longMemory is the time constant in which past long reads fade from the share of time that an engine spends on them.
-	longMemory = 2 * time.Second
-	// readPart is the part of the learnt time for a token of its own that an engine really reads; the rest are steps for others.
-	readPart = 0.55
-	// aheadMs is the time of long reads waiting at an engine that makes a tight stream beside them late for sure.
-	aheadMs = 300.0
+	// prefillChunkTokens is the usual number of prompt tokens that an engine prefills between two tokens of the running
+	// requests. A prefill of more tokens counts as long.
+	prefillChunkTokens = 2048
+	// initialChunkMs is the initial estimate of the time of an engine step that prefills a whole chunk.
+	initialChunkMs = 66.0
+	// prefillPauseQuantile is the quantile of the longest pause of streams beside long prefills that is estimated.
+	// prefillPauseStep is the relative step of the estimate for each stream, so that it follows a change within some
+	// dozens of streams.
+	prefillPauseQuantile = 0.8
+	prefillPauseStep     = 0.02
+	// prefillPauseRampStart and prefillPauseRampEnd are the ratios of the estimated to the promised pause at which the
+	// chance to be late rises from 0 and reaches 1. The pause is measured where long prefills come one at a time, as
+	// far as streams are separated from them; where they follow each other, pauses are twice as long. With a ramp from
+	// 0.8 to 1.2, a sixth to a third of the latency-sensitive streams were late by a pause; with this one, 4 to 8 in
+	// 100.
+	prefillPauseRampStart = 0.3
+	prefillPauseRampEnd   = 0.5
+	// sensitiveThreshold is the chance to be late by a pause beside a long prefill above which a stream is
+	// latency-sensitive.
+	sensitiveThreshold = 0.1
+	// certainDelayTokens is the length of a prefill that makes latency-sensitive streams beside it late with certainty;
+	// a shorter one delays fewer of their events. Eight chunks take about 0.4 s at 40 tokens a millisecond.
+	certainDelayTokens = 8 * prefillChunkTokens
+	// newSensitiveEngineLoss is the loss for the first latency-sensitive stream on an engine. Long prefills avoid that
+	// engine from then on, so later streams should join it. On virtual time, drafts beside questions attain 0.012 more
+	// with 0.3 than with 0.1, and 0.001 more with 0.8.
+	newSensitiveEngineLoss = 0.3
+	// longPrefillDecay is the time constant of the decaying sum of long prefills on an engine.
+	longPrefillDecay = 2 * time.Second
+	// prefillTimeShare is the part of the learnt time per prefill token that an engine spends on that prefill; in the
+	// rest it runs steps for other requests.
+	prefillTimeShare = 0.55
+	// certainDelayQueueMs is the prefill time of queued long prompts from which a latency-sensitive stream beside them
+	// is expected to be late with certainty.
+	certainDelayQueueMs = 300.0
 )
 
-// isTight reports whether a long read beside a stream makes its pauses too long.
-func (p *Pool) isTight(prompt *chiverequest.Prompt) bool {
-	return p.besideChance(prompt.Pause, 1) > tightChance
+// isLatencySensitive reports whether long prefills on the same engine would delay the request's stream too often.
+func (p *Pool) isLatencySensitive(prompt *chiverequest.Prompt) bool {
+	return p.prefillDelayChance(prompt.Pause, 1) > sensitiveThreshold
 }
 
-// besideChance is the chance that a stream beside long reads is late by a pause, on an engine of a speed.
-func (p *Pool) besideChance(promised time.Duration, speed float64) float64 {
-	if promised == 0 {
+// prefillDelayChance is the chance that a stream with a promised longest pause is late by a pause when it runs beside
+// long prefills on an engine with the given slowdown.
+func (p *Pool) prefillDelayChance(maxPause time.Duration, slowdown float64) float64 {
+	if maxPause == 0 {
 		return 0
 	}
-	return ramp(p.besideMs()*speed/float64(promised.Milliseconds()), pauseSafe, pauseSpoiled)
+	return ramp(p.expectedPrefillPauseMs()*slowdown/float64(maxPause.Milliseconds()), prefillPauseRampStart, prefillPauseRampEnd)
 }
 
-// besideMs is the pause of streams beside long reads on an engine of usual speed, in milliseconds.
-func (p *Pool) besideMs() float64 {
-	if p.beside == 0 {
-		return firstBeside * float64(p.engine.TokensPerEvent)
+// expectedPrefillPauseMs is the expected longest pause of a stream beside long prefills on an engine of average speed.
+func (p *Pool) expectedPrefillPauseMs() float64 {
+	if p.prefillPauseMs == 0 {
+		return initialChunkMs * float64(p.engine.TokensPerEvent)
 	}
-	return p.beside
+	return p.prefillPauseMs
 }
 
-// learnBeside takes the longest pause of a stream beside long reads, in milliseconds at usual speed.
-func (p *Pool) learnBeside(ms float64) {
-	p.beside = p.besideMs()
-	if ms > p.beside {
-		p.beside *= 1 + besideStep*besideQuantile
+// updatePrefillPause updates the estimate with the longest pause of a stream beside long prefills, in milliseconds on
+// an engine of average speed.
+func (p *Pool) updatePrefillPause(ms float64) {
+	p.prefillPauseMs = p.expectedPrefillPauseMs()
+	if ms > p.prefillPauseMs {
+		p.prefillPauseMs *= 1 + prefillPauseStep*prefillPauseQuantile
 	} else {
-		p.beside *= 1 - besideStep*(1-besideQuantile)
+		p.prefillPauseMs *= 1 - prefillPauseStep*(1-prefillPauseQuantile)
 	}
 }
 
-// disturbed is about the chance that an engine reads something long while a stream runs there: it has lately, or something waits.
-func (p *Pool) disturbed(now time.Time, s *candidate) float64 {
-	perToken := readPart * p.forecast.own(1) * s.speed()
-	lately := s.fadedLong(now) * perToken / float64(longMemory.Milliseconds())
-	return min(1, lately+float64(s.longWaiting())*perToken/aheadMs)
+// longPrefillChance estimates the chance that a stream on the engine runs beside a long prefill, from recent and queued
+// long prefills.
+func (p *Pool) longPrefillChance(now time.Time, cand *candidate) float64 {
+	perToken := prefillTimeShare * p.ttft.prefillMs(1) * cand.slowdown()
+	recent := cand.decayedLongPrefill(now) * perToken / float64(longPrefillDecay.Milliseconds())
+	return min(1, recent+float64(cand.longQueuedTokens())*perToken/certainDelayQueueMs)
 }
 
-// pauseLoss is the loss by the pauses of the request's own stream, seen or expected, and by the long reads that it keeps away; disturbed is
-// the engine's.
-func (c *engineChoice) pauseLoss(now time.Time, s *candidate, disturbed float64) float64 {
-	loss := s.latePauses(now, c.prompt.Pause)
-	if !c.tight {
+// pauseLoss is the expected loss from the pauses of the request's own stream, as measured on the engine or as expected
+// from long prefills, and from long prefills that a latency-sensitive stream displaces. longPrefill is the result of
+// longPrefillChance.
+func (c *engineChoice) pauseLoss(now time.Time, cand *candidate, longPrefill float64) float64 {
+	loss := cand.latePauseChance(now, c.prompt.Pause)
+	if !c.latencySensitive {
 		return loss
 	}
-	loss = max(loss, disturbed*c.pool.besideChance(c.prompt.Pause, s.speed()))
-	if s.tight() == 0 {
-		loss += openLoss
+	loss = max(loss, longPrefill*c.pool.prefillDelayChance(c.prompt.Pause, cand.slowdown()))
+	if cand.sensitiveStreams() == 0 {
+		loss += newSensitiveEngineLoss
 	}
 	return loss
 }
 
-// spoiled is how many of the streams that run on an engine a read makes late; those that are late anyway have nothing left to lose.
-func (p *Pool) spoiled(s *candidate, tokens int64, disturbed float64) float64 {
-	if tokens <= chunkTokens || s.tight() == 0 {
+// delayedStreams is the expected number of latency-sensitive streams on an engine that a prefill makes late. Those that
+// other long prefills make late anyway do not count.
+func (p *Pool) delayedStreams(cand *candidate, tokens int64, longPrefill float64) float64 {
+	if tokens <= prefillChunkTokens || cand.sensitiveStreams() == 0 {
 		return 0
 	}
-	return float64(s.tight()) * (1 - disturbed) * min(1, float64(tokens)/harmTokens) * p.besideChance(p.promise, s.speed())
+	return float64(cand.sensitiveStreams()) * (1 - longPrefill) * min(1, float64(tokens)/certainDelayTokens) * p.prefillDelayChance(p.sensitivePause, cand.slowdown())
 }
 
-// noteLong counts a long read that begins.
-func (s *candidate) noteLong(now time.Time, tokens int64) {
-	s.longRead = s.fadedLong(now) + float64(tokens)
-	s.longAt = now
+// addLongPrefill adds a new long prefill to the decaying sum.
+func (c *candidate) addLongPrefill(now time.Time, tokens int64) {
+	c.longPrefillTokens = c.decayedLongPrefill(now) + float64(tokens)
+	c.longPrefillAt = now
 }
 
-func (s *candidate) fadedLong(now time.Time) float64 {
-	return s.longRead * math.Exp(-now.Sub(s.longAt).Seconds()/longMemory.Seconds())
+func (c *candidate) decayedLongPrefill(now time.Time) float64 {
+	return c.longPrefillTokens * math.Exp(-now.Sub(c.longPrefillAt).Seconds()/longPrefillDecay.Seconds())
 }
--- a/chiveplace/waiting.go
+++ b/chiveplace/waiting.go
@@ -2,62 +2,62 @@
 
 import "chivedrift/chivetable"
 
-// Engines read the prompts of the urgent first, whatever came before them: on a pool with a third of its engines the most urgent
-// had their first event at 120 tokens a millisecond of what waited in all, three times what an engine reads. So what a
-// request has to wait for is what waits there of its own rank and those above; counting all of it would
-// refuse the urgent for the sake of those that stand behind them.
-
-// waitingRanks is how many ranks waiting tokens are told apart by; more share a number.
-const waitingRanks = 10
-
-// byRank counts waiting prompt tokens by rank, the most urgent first; ranks at the end that have none may be left out.
-type byRank []int64
-
-// add counts tokens of a rank.
-func (b byRank) add(rank chivetable.Rank, tokens int64) byRank {
-	place := rank.Scaled(waitingRanks)
-	for len(b) <= place {
-		b = append(b, 0)
+// Engines prefill urgent prompts first, whatever arrived before them: on a pool with a third of its engines the most
+// urgent requests got their first event as if the queue of all ranks were prefilled at 120 tokens a millisecond, three
+// times the rate of an engine. So a request waits only for the queued tokens of its own rank and of higher ones. If all
+// of them counted, urgent requests would be refused because of requests that are queued behind them.
+
+// rankBuckets is the number of buckets for queued tokens; with more ranks than that, several share a bucket.
+const rankBuckets = 10
+
+// tokensByRank counts queued prompt tokens by rank, the most urgent first. Empty ranks at the end may be omitted.
+type tokensByRank []int64
+
+// add adds tokens of a rank.
+func (t tokensByRank) add(rank chivetable.Rank, tokens int64) tokensByRank {
+	bucket := rank.Scaled(rankBuckets)
+	for len(t) <= bucket {
+		t = append(t, 0)
 	}
-	b[place] += tokens
-	return b
+	t[bucket] += tokens
+	return t
 }
 
-// replace takes out what one node had told and puts in what it tells now.
-func (b byRank) replace(before, now byRank) byRank {
-	for len(b) < max(len(before), len(now)) {
-		b = append(b, 0)
+// replace subtracts the previous report of a node and adds its new one.
+func (t tokensByRank) replace(before, after tokensByRank) tokensByRank {
+	for len(t) < max(len(before), len(after)) {
+		t = append(t, 0)
 	}
 	for i, n := range before {
-		b[i] -= n
+		t[i] -= n
 	}
-	for i, n := range now {
-		b[i] += n
+	for i, n := range after {
+		t[i] += n
 	}
-	return b
+	return t
 }
 
-// upTo returns the tokens of a rank and all above it.
-func (b byRank) upTo(rank chivetable.Rank) (sum int64) {
-	for _, n := range b[:min(rank.Scaled(waitingRanks)+1, len(b))] {
+// upTo returns the tokens of a rank and all higher ones.
+func (t tokensByRank) upTo(rank chivetable.Rank) (sum int64) {
+	for _, n := range t[:min(rank.Scaled(rankBuckets)+1, len(t))] {
 		sum += n
 	}
 	return sum
 }
 
 // total returns the tokens of all ranks.
-func (b byRank) total() (sum int64) {
-	for _, n := range b {
+func (t tokensByRank) total() (sum int64) {
+	for _, n := range t {
 		sum += n
 	}
 	return sum
 }
 
-// trimmed returns a copy without the empty ranks at the end, as other nodes are told.
-func (b byRank) trimmed() byRank {
-	last := len(b)
-	for last > 0 && b[last-1] == 0 {
-		last--
+// trimmed returns a copy without the empty ranks at the end, as it is reported to other nodes.
+func (t tokensByRank) trimmed() tokensByRank {
+	length := len(t)
+	for length > 0 && t[length-1] == 0 {
+		length--
 	}
-	return append(byRank(nil), b[:last]...)
+	return append(tokensByRank(nil), t[:length]...)
 }
--- a/chiveplace/warmup.go
+++ b/chiveplace/warmup.go
@@ -6,59 +6,59 @@
 	"chivedrift/chivedirectory"
 )
 
-// An endpoint that has just started takes only a few requests a second for a while, and crashes at a rate well above that. So the nodes together keep
-// to that rate.
+// An endpoint that has just started accepts only a few requests a second for a while, and crashes at a rate well above
+// that. So all nodes together stay within that rate.
 
-// warming is the state of an endpoint that has just started.
-type warming struct {
-	// until is when it is over, taken when this node last placed a request on the endpoint meanwhile.
-	until time.Time
-	taken time.Time
+// warmUpState is the state of an endpoint that is warming up.
+type warmUpState struct {
+	// endsAt is the end of the warm-up, lastPlacedAt when this node last placed a request on the endpoint during it.
+	endsAt       time.Time
+	lastPlacedAt time.Time
 }
 
-// setEndpoint takes what the directory says of the endpoint now.
-func (s *candidate) setEndpoint(now time.Time, e chivedirectory.Endpoint) {
-	before := s.warming
-	s.endpoint, s.warming = e, nil
+// setEndpoint applies the current directory entry of the endpoint.
+func (c *candidate) setEndpoint(now time.Time, e chivedirectory.Endpoint) {
+	before := c.warmUp
+	c.endpoint, c.warmUp = e, nil
 	if e.WarmUp > 0 {
-		// The entry was written before it is known here, so that this is late rather than early.
-		s.warming = &warming{until: now.Add(e.WarmUp)}
+		// The entry was written before this node learns of it, so this end is too late rather than too early.
+		c.warmUp = &warmUpState{endsAt: now.Add(e.WarmUp)}
 		if before != nil {
-			s.warming.taken = before.taken
+			c.warmUp.lastPlacedAt = before.lastPlacedAt
 		}
 	}
 }
 
-// warmsUp reports whether the endpoint may get only a few requests.
-func (p *Pool) warmsUp(now time.Time, s *candidate) bool {
-	return p.warmUpRate > 0 && s.warming != nil && now.Before(s.warming.until)
+// isWarmingUp reports whether the endpoint accepts only a few requests for now.
+func (p *Pool) isWarmingUp(now time.Time, cand *candidate) bool {
+	return p.warmUpRate > 0 && cand.warmUp != nil && now.Before(cand.warmUp.endsAt)
 }
 
-// mayWarm reports whether a request fits into what this node may place on an endpoint that warms up.
-func (p *Pool) mayWarm(now time.Time, s *candidate, ask Ask) bool {
-	nodes := float64(max(p.nodes, 1))
+// warmUpAllows reports whether this node may place a request on an endpoint that is warming up.
+func (p *Pool) warmUpAllows(now time.Time, cand *candidate, ask Ask) bool {
+	nodes := float64(max(p.nodeCount, 1))
 	if ask.Among != nil {
 		// The owner of an engine grants all places on it.
 		nodes = 1
 	}
-	pause := time.Duration(nodes / p.warmUpRate * float64(time.Second))
-	if pause > s.endpoint.WarmUp {
-		// The part of one node in so large a fleet is less than one request.
+	interval := time.Duration(nodes / p.warmUpRate * float64(time.Second))
+	if interval > cand.endpoint.WarmUp {
+		// This node's share of the rate in so large a fleet is less than one request.
 		return false
 	}
-	return now.Sub(s.warming.taken) >= pause
+	return now.Sub(cand.warmUp.lastPlacedAt) >= interval
 }
 
-// SetWarmUpRate takes how many requests a second an endpoint takes while it warms up; 0 where that makes no difference.
+// SetWarmUpRate sets how many requests a second an endpoint accepts while it warms up; 0 means no limit.
 func (p *Pool) SetWarmUpRate(rate float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.warmUpRate = rate
 }
 
-// SetNodes takes how many nodes place requests on the pool.
+// SetNodes sets how many nodes place requests on the pool.
 func (p *Pool) SetNodes(nodes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.nodes = nodes
+	p.nodeCount = nodes
 }
