--- a/chiveplace/bench_test.go
+++ b/chiveplace/bench_test.go
@@ -7,9 +7,9 @@
 	"chivedrift/chiveplace"
 )
 
-// BenchmarkChoice600 is one choice among 600 engines: 228 to 236 microseconds when candidates were sorted and hashed for each choice, 27 to 32
-// since they are kept in order. The bound for a decision is 50.
-func BenchmarkChoice600(b *testing.B) {
+// BenchmarkTakeAmong600Engines measures one choice among 600 engines: 228 to 236 microseconds when candidates were
+// sorted and hashed for each choice, 27 to 32 since they are kept in order. The limit for a choice is 50.
+func BenchmarkTakeAmong600Engines(b *testing.B) {
 	p := newPool(600, engine)
 	now := time.Now()
 	prompt := longPrompt(1, 2)
--- a/chiveplace/cache_query_test.go
+++ b/chiveplace/cache_query_test.go
@@ -11,24 +11,24 @@
 	"chivedrift/chiveplace"
 )
 
-// Guards against a node that learns of the engines late in the start of a large fleet and takes them all for engines that just started, whose caches it
-// need not ask for.
-func TestEnginesThatANodeLearnsOfLateHaveRunBefore(t *testing.T) {
+// Guards against a node that discovers the engines late during the start of a large fleet, takes them for newly started
+// ones with empty caches and does not query their cache contents.
+func TestEnginesDiscoveredDuringStartupAreQueried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := chiveplace.NewPool("a")
 		p.SetEngine(engine)
-		learn := func(id string) {
+		discover := func(id string) {
 			p.ApplyEndpoints(chivedirectory.Diff{Changed: []chivedirectory.Endpoint{{ID: id, Pool: "p", Born: 1}}})
 		}
 		time.Sleep(5 * time.Second)
-		learn("e1")
+		discover("e1")
 		time.Sleep(time.Second)
-		learn("e2")
+		discover("e2")
 		time.Sleep(5 * time.Second)
-		learn("later")
-		unasked := p.TakeUnasked(nil, 10)
-		if len(unasked) != 2 || unasked[0].ID != "e1" || unasked[1].ID != "e2" {
-			t.Errorf("asked for the caches of %v, want those of e1 and e2", unasked)
+		discover("later")
+		unqueried := p.TakeUnasked(nil, 10)
+		if len(unqueried) != 2 || unqueried[0].ID != "e1" || unqueried[1].ID != "e2" {
+			t.Errorf("endpoints to query: %v, want e1 and e2", unqueried)
 		}
 	})
 }
--- a/chiveplace/demand_test.go
+++ b/chiveplace/demand_test.go
@@ -8,10 +8,11 @@
 	"chivedrift/chiverequest"
 )
 
-// crowd tells a pool of prompts that other nodes sent, spread over its engines, for two seconds.
-func crowd(p *chiveplace.Pool, now time.Time, engines []string, aSecond int) time.Time {
-	for i := range 2 * aSecond {
-		now = now.Add(time.Second / time.Duration(aSecond))
+// reportPrefills reports prompts of other nodes at a rate for two seconds, spread over the engines, and returns the
+// time after that.
+func reportPrefills(p *chiveplace.Pool, now time.Time, engines []string, perSecond int) time.Time {
+	for i := range 2 * perSecond {
+		now = now.Add(time.Second / time.Duration(perSecond))
 		report := chiveplace.Report{Reads: []chiveplace.Read{{
 			Endpoint: engines[i%len(engines)], Parts: []chiverequest.Part{{ID: uint64(50_000 + i), Tokens: 4000}},
 		}}}
@@ -20,13 +21,14 @@
 	return now
 }
 
-// chosenBeside returns where a request goes whose shared part e0 holds, which has a queue, while so many other prompts arrive a second.
-func chosenBeside(t *testing.T, aSecond int) string {
+// endpointAtRate returns where a request goes if e0 has its shared part cached and also has a queue, while other
+// prompts arrive at a rate.
+func endpointAtRate(t *testing.T, perSecond int) string {
 	t.Helper()
 	p := newPool(4, engine)
 	now := time.Now()
-	if aSecond > 0 {
-		now = crowd(p, now, []string{"e0", "e1", "e2", "e3"}, aSecond)
+	if perSecond > 0 {
+		now = reportPrefills(p, now, []string{"e0", "e1", "e2", "e3"}, perSecond)
 	}
 	prompt := longPrompt(1, 100)
 	prompt.Target, prompt.Pause = time.Second, 0
@@ -37,12 +39,12 @@
 	return take(t, p, now, prompt).Endpoint().ID
 }
 
-// Guards against computing cached prompt tokens again on another engine under load.
-func TestReadingAgainCostsMoreUnderLoad(t *testing.T) {
-	if calm := chosenBeside(t, 0); calm == "e0" {
-		t.Error("in calm a request waited behind a queue, though an idle engine could have read its part in time")
+// Guards against recomputing cached prompt tokens on another engine under load.
+func TestRecomputingCostsMoreUnderLoad(t *testing.T) {
+	if idle := endpointAtRate(t, 0); idle == "e0" {
+		t.Error("without load a request waited in a queue, though an idle engine could have prefilled its part in time")
 	}
-	if busy := chosenBeside(t, 80); busy != "e0" {
-		t.Errorf("in a burst a request had its part read again on %s", busy)
+	if busy := endpointAtRate(t, 80); busy != "e0" {
+		t.Errorf("in a burst the part of a request was recomputed on %s", busy)
 	}
 }
--- a/chiveplace/grant_test.go
+++ b/chiveplace/grant_test.go
@@ -10,7 +10,7 @@
 	"chivedrift/chiveresidency"
 )
 
-// load returns how many requests a pool believes an endpoint has.
+// load returns how many requests a pool counts on an endpoint.
 func load(p *chiveplace.Pool, endpoint string) int {
 	for _, s := range p.States(time.Now()) {
 		if s.Endpoint == endpoint {
@@ -22,7 +22,7 @@
 
 func grant(t *testing.T, p *chiveplace.Pool, now time.Time, node string, number uint64, own int) chiveplace.Grant {
 	t.Helper()
-	g, err := p.Grant(now, node, number, chiveplace.Ask{Prompt: loosePrompt(own)})
+	g, err := p.Grant(now, node, number, chiveplace.Ask{Prompt: promptWithoutPauseLimit(own)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +30,7 @@
 }
 
 // Guards against simultaneous requests of many nodes that all go to one engine.
-func TestGrantCountsAtOnceAndOnce(t *testing.T) {
+func TestGrantCountsImmediatelyAndOnlyOnce(t *testing.T) {
 	p := newPool(2, engine)
 	now := time.Now()
 	first := grant(t, p, now, "n1", 1, 100)
@@ -38,16 +38,16 @@
 		t.Fatalf("after the grant the engine has %d requests", got)
 	}
 	if second := grant(t, p, now, "n2", 2, 200); second.Endpoint == first.Endpoint {
-		t.Errorf("two nodes that asked at once were sent to the same engine %s", first.Endpoint)
+		t.Errorf("simultaneous requests of two nodes were placed on the same engine %s", first.Endpoint)
 	}
 	p.Hear(now, "n1", &chiveplace.Report{Granted: 1, Loads: []chiveplace.Load{{Endpoint: first.Endpoint, Requests: 1}}})
 	if got := load(p, first.Endpoint); got != 1 {
-		t.Errorf("after its node has told of it the engine has %d requests", got)
+		t.Errorf("after its node has reported it the engine has %d requests", got)
 	}
 }
 
 // Guards against an engine that stays idle because unused grants still count.
-func TestGrantsThatAreNotUsedRunOut(t *testing.T) {
+func TestUnusedGrantsExpire(t *testing.T) {
 	p := newPool(1, engine)
 	now := time.Now()
 	g := grant(t, p, now, "n1", 1, 100)
@@ -58,11 +58,11 @@
 	}
 	grant(t, p, now.Add(1100*time.Millisecond), "n3", 3, 300)
 	if got := load(p, g.Endpoint); got != 1 {
-		t.Errorf("the engine has %d requests; the old grant has run out", got)
+		t.Errorf("the engine has %d requests; the old grant must have expired", got)
 	}
 }
 
-func TestAdoptedPlaceIsTheNodesOwn(t *testing.T) {
+func TestAdoptedPlaceCountsAsOwnRequest(t *testing.T) {
 	owner, node := newPool(2, engine), newPool(2, engine)
 	g := grant(t, owner, time.Now(), "n1", 1, 100)
 	place, ok := node.Adopt(time.Now(), g, chiveplace.Ask{Prompt: shortPrompt(100)})
@@ -71,20 +71,20 @@
 	}
 	place.Done(time.Now(), chiveplace.EndedWell)
 	if got := load(node, g.Endpoint); got != 0 {
-		t.Errorf("%d requests after the end", got)
+		t.Errorf("%d requests after Done", got)
 	}
 	if _, ok := node.Adopt(time.Now(), chiveplace.Grant{Endpoint: "unknown"}, chiveplace.Ask{Prompt: shortPrompt(1)}); ok {
-		t.Error("an endpoint that the node does not know cannot be adopted")
+		t.Error("a grant for an unknown endpoint was adopted")
 	}
 }
 
-func TestBoundOnTheLossAndReleasedEndpoints(t *testing.T) {
+func TestLossLimitReleaseAndAllowedEndpoints(t *testing.T) {
 	p := newPool(2, engine)
 	now := time.Now()
 	_, err := p.Grant(now, "n1", 1, chiveplace.Ask{Prompt: longPrompt(1, 100), Most: 1e-9})
 	var refused *chiveplace.RefusedError
 	if !errors.As(err, &refused) || refused.Loss <= 0 {
-		t.Errorf("got %v, want the loss of a place that costs too much", err)
+		t.Errorf("got %v, want a refusal with the loss of the place", err)
 	}
 	g := grant(t, p, now, "n1", 2, 100)
 	p.Release(func(string) bool { return false })
@@ -93,11 +93,11 @@
 	}
 	only := []string{"e1"}
 	if g, err := p.Grant(now, "n1", 3, chiveplace.Ask{Prompt: shortPrompt(5), Among: only}); err != nil || g.Endpoint != "e1" {
-		t.Errorf("got %v, %v; want the only engine of the group", g, err)
+		t.Errorf("got %v, %v; want the only allowed engine", g, err)
 	}
 }
 
-// Guards against a grant of an owner of an earlier release that knows no limits to regions.
+// Guards against a grant of an owner that runs an earlier release and does not know the limits to regions.
 func TestGrantOutsideTheAllowedDomainsIsNotAdopted(t *testing.T) {
 	p := chiveplace.NewPool("a")
 	p.SetEngine(engine)
@@ -106,7 +106,7 @@
 	})
 	ask := chiveplace.Ask{Prompt: longPrompt(1, 100), Domains: chiveresidency.DomainsOf([]string{"a"})}
 	if _, ok := p.Adopt(time.Now(), chiveplace.Grant{Endpoint: "e1"}, ask); ok {
-		t.Error("a place outside the allowed failure domains is adopted")
+		t.Error("a grant outside the allowed failure domains was adopted")
 	}
 	place, ok := p.Adopt(time.Now(), chiveplace.Grant{Endpoint: "e0", Reads: 100, Fetches: 5000, FetchFrom: "10.0.0.2:1"}, ask)
 	if !ok || place.FetchFrom() != "" || place.Reads() != 5100 {
--- a/chiveplace/pool_test.go
+++ b/chiveplace/pool_test.go
@@ -14,9 +14,9 @@
 
 var engine = chivetable.Engine{Slots: 64, CacheTokens: 500_000, TokensPerEvent: 4}
 
-func newPool(engines int, of chivetable.Engine) *chiveplace.Pool {
+func newPool(engines int, capacity chivetable.Engine) *chiveplace.Pool {
 	p := chiveplace.NewPool("a")
-	p.SetEngine(of)
+	p.SetEngine(capacity)
 	var endpoints []chivedirectory.Endpoint
 	for i := range engines {
 		endpoints = append(endpoints, chivedirectory.Endpoint{ID: fmt.Sprintf("e%d", i), Pool: "p", FailureDomain: string(rune('a' + i%3))})
@@ -38,8 +38,8 @@
 	}
 }
 
-// loosePrompt is a short prompt to a route that promises nothing of its pauses, so that nothing speaks for keeping it with others.
-func loosePrompt(own int) *chiverequest.Prompt {
+// promptWithoutPauseLimit is a short prompt on a route without a promised pause, so that it is not latency-sensitive.
+func promptWithoutPauseLimit(own int) *chiverequest.Prompt {
 	p := shortPrompt(own)
 	p.Pause = 0
 	return p
@@ -55,25 +55,25 @@
 }
 
 // Guards against spreading a shared prefix over engine after engine.
-func TestSharedPartStaysWhereItIsHeld(t *testing.T) {
+func TestSharedPartStaysWhereItIsCached(t *testing.T) {
 	p := newPool(9, engine)
 	now := time.Now()
 	first := take(t, p, now, longPrompt(1, 100))
 	for i := range 5 {
 		next := take(t, p, now, longPrompt(1, 200+i))
 		if next.Endpoint().ID != first.Endpoint().ID || next.Reads() != 3700 {
-			t.Fatalf("request %d went to %s and reads %d tokens; %s holds the part", i, next.Endpoint().ID, next.Reads(), first.Endpoint().ID)
+			t.Fatalf("request %d went to %s and prefills %d tokens; %s has the part cached", i, next.Endpoint().ID, next.Reads(), first.Endpoint().ID)
 		}
 	}
 }
 
-func TestNodesMeetOnOneEngineForANewPart(t *testing.T) {
+func TestNodesChooseTheSameEngineForANewPart(t *testing.T) {
 	now := time.Now()
-	one, other := newPool(9, engine), newPool(9, engine)
+	first, second := newPool(9, engine), newPool(9, engine)
 	for shared := range 20 {
-		a, b := take(t, one, now, longPrompt(shared, 100)), take(t, other, now, longPrompt(shared, 200))
+		a, b := take(t, first, now, longPrompt(shared, 100)), take(t, second, now, longPrompt(shared, 200))
 		if a.Endpoint().ID != b.Endpoint().ID {
-			t.Errorf("part %d: %s and %s", shared, a.Endpoint().ID, b.Endpoint().ID)
+			t.Errorf("part %d: sent to %s and %s", shared, a.Endpoint().ID, b.Endpoint().ID)
 		}
 		a.Event(now, 0)
 		a.Done(now, chiveplace.EndedWell)
@@ -82,8 +82,8 @@
 	}
 }
 
-// Guards against latency-sensitive streams on engines that process long prompts.
-func TestTightStreamKeepsAwayFromLongReads(t *testing.T) {
+// Guards against latency-sensitive streams on engines that prefill long prompts.
+func TestLatencySensitiveStreamAvoidsLongPrefills(t *testing.T) {
 	p := newPool(4, engine)
 	now := time.Now()
 	busy := make(map[string]bool)
@@ -93,31 +93,31 @@
 	for i := range 5 {
 		place := take(t, p, now, shortPrompt(1000+i))
 		if busy[place.Endpoint().ID] && len(busy) < 4 {
-			t.Errorf("a tight stream went to %s, which reads a long prompt", place.Endpoint().ID)
+			t.Errorf("a latency-sensitive stream went to %s, which prefills a long prompt", place.Endpoint().ID)
 		}
 	}
 }
 
-func TestWhatAnotherNodeSentCounts(t *testing.T) {
+func TestReportedPrefillsAndLoadsCount(t *testing.T) {
 	now := time.Now()
-	one, other := newPool(3, engine), newPool(3, engine)
-	sent := take(t, one, now, longPrompt(7, 100))
+	sender, receiver := newPool(3, engine), newPool(3, engine)
+	sent := take(t, sender, now, longPrompt(7, 100))
 	var report chiveplace.Report
-	one.Collect(&report, false)
-	other.Hear(now, "one", &report)
-	next := take(t, other, now, longPrompt(7, 200))
+	sender.Collect(&report, false)
+	receiver.Hear(now, "sender", &report)
+	next := take(t, receiver, now, longPrompt(7, 200))
 	if next.Endpoint().ID != sent.Endpoint().ID || next.Reads() != 3700 {
-		t.Errorf("went to %s and reads %d; another node had sent the part to %s", next.Endpoint().ID, next.Reads(), sent.Endpoint().ID)
+		t.Errorf("went to %s and prefills %d tokens; another node had sent the part to %s", next.Endpoint().ID, next.Reads(), sent.Endpoint().ID)
 	}
-	other.Forget(map[string]bool{})
-	for _, s := range other.States(now) {
+	receiver.Forget(map[string]bool{})
+	for _, s := range receiver.States(now) {
 		if s.Others != 0 {
 			t.Errorf("%s still has %d requests of a node that is gone", s.Endpoint, s.Others)
 		}
 	}
 }
 
-func TestFullPoolRefusesWithATimeToComeBack(t *testing.T) {
+func TestFullPoolRefusesWithRetryAfter(t *testing.T) {
 	p := newPool(2, chivetable.Engine{Slots: 1, CacheTokens: 1000, TokensPerEvent: 1})
 	now := time.Now()
 	take(t, p, now, shortPrompt(1))
@@ -129,14 +129,14 @@
 	}
 }
 
-func TestFailedEndpointIsPassedOverAndComesBack(t *testing.T) {
+func TestFailedEndpointIsEjectedAndTriedAgain(t *testing.T) {
 	p := newPool(2, chivetable.Engine{})
 	now := time.Now()
 	bad := take(t, p, now, nil)
 	bad.Done(now, chiveplace.EndedBroken)
 	for range 5 {
 		if next := take(t, p, now, nil); next.Endpoint().ID == bad.Endpoint().ID {
-			t.Fatal("chosen again at once")
+			t.Fatal("chosen again immediately")
 		}
 	}
 	later := now.Add(time.Minute)
@@ -149,7 +149,7 @@
 	}
 }
 
-func TestAllEndpointsFailedIsNoReasonToRefuse(t *testing.T) {
+func TestRequestsArePlacedThoughAllEndpointsFailed(t *testing.T) {
 	p := newPool(2, chivetable.Engine{})
 	now := time.Now()
 	for range 2 {
@@ -159,19 +159,19 @@
 }
 
 // Guards against a cache model that stays empty because the endpoint was known before its memory size.
-func TestEnginesKnownBeforeTheirMemory(t *testing.T) {
+func TestCapacityMayBeSetAfterTheEndpoints(t *testing.T) {
 	p := newPool(5, chivetable.Engine{})
 	p.SetEngine(engine)
 	now := time.Now()
 	first := take(t, p, now, longPrompt(1, 100))
 	next := take(t, p, now, longPrompt(1, 200))
 	if next.Endpoint().ID != first.Endpoint().ID || next.Reads() != 3700 {
-		t.Errorf("went to %s and reads %d tokens; %s holds the part", next.Endpoint().ID, next.Reads(), first.Endpoint().ID)
+		t.Errorf("went to %s and prefills %d tokens; %s has the part cached", next.Endpoint().ID, next.Reads(), first.Endpoint().ID)
 	}
 }
 
-// Guards against cache contents, failures or load of a former process attributed to a restarted engine.
-func TestNothingIsBelievedOfAnEnginesFormerProcess(t *testing.T) {
+// Guards against cache contents, failures or load of a former process that are attributed to a restarted engine.
+func TestRestartedEngineInheritsNothing(t *testing.T) {
 	now := time.Now()
 	p := chiveplace.NewPool("a")
 	p.SetEngine(engine)
@@ -181,30 +181,30 @@
 	p.Hear(now, "n1", &chiveplace.Report{Loads: []chiveplace.Load{{Endpoint: former.Incarnation().Key(), Requests: 7}}})
 	g := grant(t, p, now, "n2", 1, 200)
 
-	again := former
-	again.Born = 9
-	p.SetEndpoints([]chivedirectory.Endpoint{again})
-	if got := load(p, again.Incarnation().Key()); got != 0 {
+	restarted := former
+	restarted.Born = 9
+	p.SetEndpoints([]chivedirectory.Endpoint{restarted})
+	if got := load(p, restarted.Incarnation().Key()); got != 0 {
 		t.Errorf("%d requests at the new process", got)
 	}
 	if second := take(t, p, now, longPrompt(1, 100)); second.Reads() != 16700 {
-		t.Errorf("%d tokens to read, want all of the prompt", second.Reads())
+		t.Errorf("%d tokens to prefill, want the whole prompt", second.Reads())
 	}
 	place.Done(now, chiveplace.EndedBroken)
 	p.Hear(now, "n1", &chiveplace.Report{
 		Loads: []chiveplace.Load{{Endpoint: former.Incarnation().Key(), Requests: 7}},
 		Reads: []chiveplace.Read{{Endpoint: former.Incarnation().Key(), Parts: longPrompt(2, 100).Parts}},
 	})
-	if got := load(p, again.Incarnation().Key()); got != 1 {
-		t.Errorf("%d requests at the new process after late report of the former one, want its own", got)
+	if got := load(p, restarted.Incarnation().Key()); got != 1 {
+		t.Errorf("%d requests at the new process after a late report about the former one, want its own", got)
 	}
 	if third := take(t, p, now, longPrompt(2, 101)); third.Reads() != 16700 {
-		t.Errorf("%d tokens to read, want all of the prompt", third.Reads())
+		t.Errorf("%d tokens to prefill, want the whole prompt", third.Reads())
 	}
 	if _, ok := p.Adopt(now, g, chiveplace.Ask{Prompt: longPrompt(1, 200)}); ok {
-		t.Error("a place at the former process is adopted")
+		t.Error("a grant on the former process was adopted")
 	}
-	if out := p.PassedOver(now); len(out) != 0 {
-		t.Errorf("passed over: %v", out)
+	if ejected := p.PassedOver(now); len(ejected) != 0 {
+		t.Errorf("ejected: %v", ejected)
 	}
 }
--- a/chiveplace/records_test.go
+++ b/chiveplace/records_test.go
@@ -10,7 +10,7 @@
 	"chivedrift/chiveplace"
 )
 
-// fleetPool returns a pool with so many engines.
+// fleetPool returns a pool with many engines.
 func fleetPool(engines int) *chiveplace.Pool {
 	p := chiveplace.NewPool("a")
 	p.SetEngine(engine)
@@ -22,7 +22,7 @@
 	return p
 }
 
-// Guards against a node that holds a full record of each of ten thousand engines although it has to do with a few.
+// Guards against a node that holds a full record of each of ten thousand engines although it uses only a few.
 func TestUnusedEnginesCostLittleMemory(t *testing.T) {
 	const engines, most = 10_000, 320
 	var before, after runtime.MemStats
@@ -31,16 +31,16 @@
 	p := fleetPool(engines)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	each := (int64(after.HeapAlloc) - int64(before.HeapAlloc)) / engines
-	t.Logf("%d bytes an engine, its address and id included", each)
-	if each > most {
-		t.Errorf("an engine that is not used holds %d bytes, at most %d expected", each, most)
+	perEngine := (int64(after.HeapAlloc) - int64(before.HeapAlloc)) / engines
+	t.Logf("%d bytes an engine, its address and id included", perEngine)
+	if perEngine > most {
+		t.Errorf("an unused engine takes %d bytes, at most %d expected", perEngine, most)
 	}
 	runtime.KeepAlive(p)
 }
 
-// Guards against what is noted of one engine that shows on all engines without a record of their own.
-func TestARecordIsOfOneEngineOnly(t *testing.T) {
+// Guards against changes to the record of one engine that show on all engines without a record of their own.
+func TestRecordsAreNotShared(t *testing.T) {
 	p := fleetPool(50)
 	now := time.Now()
 	place, err := p.Take(now, chiveplace.Ask{Prompt: longPrompt(1, 100)})
@@ -69,7 +69,7 @@
 	}
 }
 
-// Guards against records that pile up in a node that lives for long: those that are idle are dropped, those in use are kept.
+// Guards against records that accumulate in a node that runs for long: idle ones are dropped, those in use are kept.
 func TestIdleRecordsAreDropped(t *testing.T) {
 	const engines = 2000
 	p := fleetPool(engines)
@@ -90,6 +90,6 @@
 		t.Errorf("%d records are kept, expected about the %d in use", records, engines/100)
 	}
 	if got := len(p.PassedOver(now)); got != 0 {
-		t.Errorf("%d engines passed over", got)
+		t.Errorf("%d engines are ejected", got)
 	}
 }
--- a/chiveplace/report_bench_test.go
+++ b/chiveplace/report_bench_test.go
@@ -8,8 +8,8 @@
 	"chivedrift/chiveplace"
 )
 
-// BenchmarkCollect is what a node with 3,000 endpoints and nothing to report spends on that, sixteen times a second: 92 us and 48 KB of garbage before
-// the candidates were gone through in their order, 6 us and none since.
+// BenchmarkCollect measures a report of a node with 3,000 endpoints and no changes, which it makes sixteen times a
+// second: 92 us and 48 KB of garbage before the candidates were visited in their sorted order, 6 us and none since.
 func BenchmarkCollect(b *testing.B) {
 	const most = 50_000
 	pool := chiveplace.NewPool("z0")
@@ -23,7 +23,7 @@
 		var report chiveplace.Report
 		pool.Collect(&report, false)
 	}
-	if each := float64(b.Elapsed().Nanoseconds()) / float64(b.N); each > most {
-		b.Errorf("%.0f ns, more than %d", each, most)
+	if perCall := float64(b.Elapsed().Nanoseconds()) / float64(b.N); perCall > most {
+		b.Errorf("%.0f ns, more than %d", perCall, most)
 	}
 }
--- a/chiveplace/tight_test.go
+++ b/chiveplace/tight_test.go
@@ -8,7 +8,7 @@
 )
 
 // Guards against latency-sensitive streams spread so widely that no engine is left for long prompts.
-func TestTightStreamsKeepTogether(t *testing.T) {
+func TestLatencySensitiveStreamsShareEngines(t *testing.T) {
 	p := newPool(6, engine)
 	now := time.Now()
 	used := make(map[string]bool)
@@ -18,17 +18,17 @@
 		used[place.Endpoint().ID] = true
 	}
 	if len(used) > 2 {
-		t.Errorf("twelve tight streams run on %d of 6 engines", len(used))
+		t.Errorf("twelve latency-sensitive streams run on %d of 6 engines", len(used))
 	}
 	for i := range 4 {
 		if place := take(t, p, now, longPrompt(100+i, 1000+i)); used[place.Endpoint().ID] {
-			t.Errorf("long read %d went to an engine with tight streams, while %d have none", i, 6-len(used))
+			t.Errorf("long prefill %d went to an engine with latency-sensitive streams, while %d have none", i, 6-len(used))
 		}
 	}
 }
 
-// The pause that streams have beside long reads is learnt: where engines read so fast that nobody is late by it, streams need not
-// be kept apart.
+// Guards against separating streams from long prefills on engines that are so fast that long prefills make no stream
+// late. The pause of streams beside long prefills is learnt.
 func TestFastEnginesNeedNoSeparation(t *testing.T) {
 	p := newPool(2, engine)
 	now := time.Now()
@@ -49,6 +49,6 @@
 	other := take(t, p, now, longPrompt(9001, 9002))
 	busy := take(t, p, now, longPrompt(9001, 9003))
 	if other.Endpoint().ID != busy.Endpoint().ID {
-		t.Errorf("a shared part was read on %s and on %s, only to keep away from a stream", other.Endpoint().ID, busy.Endpoint().ID)
+		t.Errorf("a shared part was prefilled on both %s and %s, only to avoid a stream", other.Endpoint().ID, busy.Endpoint().ID)
 	}
 }
--- a/chiveplace/warmup_test.go
+++ b/chiveplace/warmup_test.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	warmRate = 5.8
-	warmUp   = 3 * time.Second
+	warmUpRate = 5.8
+	warmUp     = 3 * time.Second
 )
 
-// warmingPool is a pool as one of so many nodes sees it, with endpoints of which the first few warm up.
-func warmingPool(nodes, warming, warm int) *chiveplace.Pool {
+// newWarmUpPool returns a pool as one of several nodes sees it, with endpoints of which the first few are warming up.
+func newWarmUpPool(nodes, warming, warm int) *chiveplace.Pool {
 	pool := chiveplace.NewPool("z0")
-	pool.SetWarmUpRate(warmRate)
+	pool.SetWarmUpRate(warmUpRate)
 	pool.SetNodes(nodes)
 	var endpoints []chivedirectory.Endpoint
 	for i := range warming + warm {
@@ -32,10 +32,10 @@
 	return pool
 }
 
-// Guards against an endpoint that crashes since it gets its full share of requests right after its start.
-func TestEndpointThatWarmsUpGetsItsRateAtMost(t *testing.T) {
+// Guards against an endpoint that crashes because it gets its full share of requests right after its start.
+func TestWarmUpRateIsNotExceeded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		pool := warmingPool(1, 1, 2)
+		pool := newWarmUpPool(1, 1, 2)
 		got := 0
 		for began := time.Now(); time.Since(began) < warmUp; time.Sleep(10 * time.Millisecond) {
 			place, err := pool.Take(time.Now(), chiveplace.Ask{})
@@ -47,8 +47,8 @@
 			}
 			place.Done(time.Now(), chiveplace.EndedWell)
 		}
-		if most := warmRate*warmUp.Seconds() + 1; got == 0 || float64(got) > most {
-			t.Errorf("it got %d requests while it warmed up, want some and %.0f at most", got, most)
+		if most := warmUpRate*warmUp.Seconds() + 1; got == 0 || float64(got) > most {
+			t.Errorf("the endpoint got %d requests while it warmed up, want some and at most %.0f", got, most)
 		}
 		got = 0
 		for range 50 {
@@ -61,19 +61,20 @@
 			}
 		}
 		if got < 10 {
-			t.Errorf("it got %d of 50 requests when it was warm", got)
+			t.Errorf("the endpoint got %d of 50 requests after it had warmed up", got)
 		}
 	})
 }
 
-// Guards against the same where all endpoints warm up, such as after the loss of a whole pool: the nodes keep to the rate together.
-func TestNodesKeepToTheRateOfEndpointsThatWarmUp(t *testing.T) {
+// Guards against the same crash when all endpoints warm up, such as after the loss of a whole pool: the nodes together
+// must not exceed the rate.
+func TestNodesShareTheWarmUpRate(t *testing.T) {
 	for _, nodes := range []int{1, 8, 62} {
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var pools []*chiveplace.Pool
 				for range nodes {
-					pools = append(pools, warmingPool(nodes, 2, 0))
+					pools = append(pools, newWarmUpPool(nodes, 2, 0))
 				}
 				most := 0
 				for range 3 {
@@ -88,19 +89,20 @@
 						time.Sleep(20 * time.Millisecond)
 					}
 				}
-				t.Logf("%d nodes: at most %d requests in a second on an endpoint that takes %.1f", nodes, most, warmRate)
-				if float64(most) > 1.5*warmRate {
-					t.Errorf("an endpoint that takes %.1f requests a second got %d in one", warmRate, most)
+				t.Logf("%d nodes: at most %d requests in a second on an endpoint that accepts %.1f", nodes, most, warmUpRate)
+				if float64(most) > 1.5*warmUpRate {
+					t.Errorf("an endpoint that accepts %.1f requests a second got %d in one", warmUpRate, most)
 				}
 			})
 		})
 	}
 }
 
-// Guards against an owner of an engine in a large fleet that keeps to the part of one node: it grants for all.
-func TestOwnerGrantsTheWholeRate(t *testing.T) {
+// Guards against an owner of an engine in a large fleet that limits itself to one node's share of the rate: it grants
+// places for all nodes.
+func TestOwnerGrantsTheFullWarmUpRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		pool := warmingPool(62, 1, 0)
+		pool := newWarmUpPool(62, 1, 0)
 		granted := 0
 		for i := range 100 {
 			if _, err := pool.Grant(time.Now(), "n", uint64(i+1), chiveplace.Ask{Among: []string{"e0"}}); err == nil {
@@ -108,8 +110,8 @@
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		if float64(granted) < warmRate-1 || float64(granted) > 1.5*warmRate {
-			t.Errorf("%d places were granted in a second, want about %.1f", granted, warmRate)
+		if float64(granted) < warmUpRate-1 || float64(granted) > 1.5*warmUpRate {
+			t.Errorf("%d places were granted in a second, want about %.1f", granted, warmUpRate)
 		}
 	})
 }
