--- a/chiveplace/pool.go
+++ b/chiveplace/pool.go
@@ -48,7 +48,7 @@
 	// Domains limits the choice, and the endpoints to fetch prompt parts from, to some failure domains.
 	Domains chiveresidency.Domains
 	// Most limits the loss of the place. Above Most plus the loss of recomputing MostReads tokens the request is
-	// refused, so that other endpoints can be tried first. 0 means no limit, because there are no others.
+	// refused, so that other endpoints can be tried first. 0 means no limit.
 	Most      float64
 	MostReads int64
 }
@@ -57,7 +57,8 @@
 type RefusedError struct {
 	Reason     string
 	RetryAfter time.Duration
-	// Expected is the predicted time to the first event on the best engine; 0 if no engine had capacity.
+	// Expected is the predicted time to the first event on the best engine, if the request is refused for its predicted
+	// wait; otherwise 0.
 	Expected time.Duration
 	// Loss is the loss of the best place if it exceeds the limit of the ask, otherwise 0.
 	Loss float64
