--- a/chiveplace/admit.go
+++ b/chiveplace/admit.go
@@ -45,7 +45,7 @@
 	}
 	retryAfter := max(chivetime.Milliseconds(waitMs-limitMs), minRetryAfter)
 	retryAfter += time.Duration(retryJitter * p.rng.Float64() * float64(retryAfter))
-	reason := fmt.Sprintf("prefill queues are too long: expected wait %.0f ms, limit %.0f ms for rank %d", waitMs, limitMs, prompt.Rank.Place)
+	reason := fmt.Sprintf("the engines have too much to read: %.0f ms of wait, %.0f allowed for rank %d", waitMs, limitMs, prompt.Rank.Place)
 	return &RefusedError{Reason: reason, RetryAfter: retryAfter, Expected: expectedTTFT}
 }
 
