--- a/chivescale/doc.go
+++ b/chivescale/doc.go
@@ -1,6 +1,9 @@
-// Package chivescale decides how many on-demand and preemptible replicas of a pool to order in each failure domain.
+// Package chivescale plans how many on-demand and preemptible replicas each pool needs per failure domain, and orders
+// them from the platform. Only the node that holds the lease plans and orders.
 //
-// The number of on-demand replicas does not follow the load, because replicas that stop lose their caches. Preemptible replicas cost less but may be
-// reclaimed a failure domain at a time. They provide a reserve that always runs, because short bursts end before a new replica has booted, and scale
-// with the load in longer bursts.
+// Where preemptible replicas are cheap enough, the number of on-demand replicas does not follow the load, because a
+// replica that stops loses its cache. Preemptible replicas cost less, but the platform may reclaim those of a whole
+// failure domain at once. Part of them always runs as a reserve, because short bursts end before a new replica has
+// booted; longer bursts add more. Elsewhere, the number of on-demand replicas follows the load but never falls below
+// the initial number.
 package chivescale
--- a/chivescale/plan.go
+++ b/chivescale/plan.go
@@ -9,21 +9,24 @@
 )
 
 const (
-	// requestsPerReplica is the target maximum of requests in progress per replica; concurrent prefills delay each other.
+	// requestsPerReplica is the target maximum of requests in progress per replica, because concurrent prefills delay
+	// each other.
 	requestsPerReplica = 4.0
-	// peakRetention is how long capacity is kept for a load peak; replicas that stop lose their caches.
+	// peakRetention is how long capacity is kept after a load peak, because a replica that stops loses its cache.
 	peakRetention = 20 * time.Second
-	// onDemandShare is the fraction of the initial replicas kept on-demand when preemptible ones are used.
+	// onDemandShare is the number of on-demand replicas, relative to the initial ones, when preemptible ones are used.
 	onDemandShare = 0.2
-	// baselineRatio is the minimum number of replicas of both kinds, relative to the initial replicas, when preemptible ones are used.
+	// baselineRatio is the minimum number of replicas of both kinds, relative to the initial replicas, when preemptible
+	// ones are used.
 	baselineRatio = 1.8
-	// maxPreemptiblePrice is the highest price, relative to an on-demand replica, at which preemptible replicas are used.
+	// maxPreemptiblePrice is the maximum price of a preemptible replica, relative to an on-demand one, at which
+	// preemptible replicas are used.
 	maxPreemptiblePrice = 0.5
-	// unavailableBackoff is how long a failure domain counts as unavailable for preemptible replicas after a refused order.
+	// unavailableBackoff is how long no preemptible replicas are expected from a failure domain after a refused order.
 	unavailableBackoff = 3 * time.Second
 )
 
-// Domain holds the numbers of replicas of a pool that accept requests in a failure domain.
+// Domain holds the numbers of a pool's replicas in a failure domain that accept requests.
 type Domain struct {
 	Name        string
 	OnDemand    int
@@ -41,8 +44,8 @@
 	Count       int
 }
 
-// load is the number of requests in progress at a time.
-type load struct {
+// loadSample is the number of requests in progress at one point in time.
+type loadSample struct {
 	at       time.Duration
 	requests float64
 }
@@ -54,15 +57,18 @@
 	initial int
 	// startedAt is when planning began; earlier loads are unknown.
 	startedAt time.Duration
-	// peaks holds the highest loads within peakRetention, in descending order.
-	peaks []load
-	// onDemand is the number of on-demand replicas last planned by failure domain; it only decreases, down to the on-demand share.
+	// peaks holds the loads within peakRetention that no later load has reached. They decrease, so the first one is the
+	// maximum.
+	peaks []loadSample
+	// onDemand holds the number of on-demand replicas last planned, by failure domain. It only decreases, down to
+	// onDemandShare.
 	onDemand map[string]int
-	// unavailableUntil is when a failure domain counts as available for preemptible replicas again.
+	// unavailableUntil holds the time at which unavailableBackoff ends, by failure domain.
 	unavailableUntil map[string]time.Duration
 }
 
-// NewPlanner returns a planner that starts at now, for a pool with the given number of replicas before the first order.
+// NewPlanner returns a planner that starts at now, for a pool that had the given number of replicas before the first
+// order.
 func NewPlanner(now time.Duration, scaling chivetable.Scaling, initial int) *Planner {
 	return &Planner{scaling: scaling, initial: initial, startedAt: now, onDemand: make(map[string]int), unavailableUntil: make(map[string]time.Duration)}
 }
@@ -84,33 +90,33 @@
 	return p.planMixed(now, domains)
 }
 
-// usesPreemptible reports whether preemptible replicas exist and are cheap enough to justify reclaims.
+// usesPreemptible reports whether preemptible replicas are offered, at a price low enough to justify being reclaimed.
 func (p *Planner) usesPreemptible() bool {
 	return p.scaling.PreemptiblePrice > 0 && p.scaling.PreemptiblePrice <= maxPreemptiblePrice
 }
 
-// recordLoad adds a load, and drops earlier loads that are not higher or that are older than peakRetention.
+// recordLoad adds a load, and drops earlier ones that are not higher or are older than peakRetention.
 func (p *Planner) recordLoad(now time.Duration, requests float64) {
-	p.peaks = slices.DeleteFunc(p.peaks, func(l load) bool { return now-l.at > peakRetention || l.requests <= requests })
-	p.peaks = append(p.peaks, load{now, requests})
+	p.peaks = slices.DeleteFunc(p.peaks, func(l loadSample) bool { return now-l.at > peakRetention || l.requests <= requests })
+	p.peaks = append(p.peaks, loadSample{now, requests})
 }
 
-// required returns the number of replicas required by the recent peak, but no less than minimum.
-func (p *Planner) required(minimum float64) float64 {
+// requiredReplicas returns the number of replicas needed for the recent peak, but no less than minimum.
+func (p *Planner) requiredReplicas(minimum float64) float64 {
 	return max(p.peaks[0].requests/requestsPerReplica, minimum)
 }
 
-// planOnDemand orders on-demand replicas only, and never fewer than the initial number.
+// planOnDemand orders on-demand replicas only, in total no fewer than the initial number.
 func (p *Planner) planOnDemand(domains []Domain) (orders []Order) {
-	perDomain := p.required(float64(p.initial)) / float64(len(domains))
+	perDomain := p.requiredReplicas(float64(p.initial)) / float64(len(domains))
 	for _, d := range domains {
 		orders = append(orders, Order{Domain: d.Name, Count: p.clamp(perDomain, p.scaling.Max)})
 	}
 	return orders
 }
 
-// planMixed divides the required preemptible replicas among the available failure domains, and reduces the on-demand replicas to their share as
-// preemptible ones start.
+// planMixed divides the required preemptible replicas by the number of available failure domains, so that these make up
+// for the others. It reduces the on-demand replicas to onDemandShare as preemptible ones start.
 func (p *Planner) planMixed(now time.Duration, domains []Domain) (orders []Order) {
 	count, initial := float64(len(domains)), float64(p.initial)
 	baseline := initial * baselineRatio
@@ -121,7 +127,7 @@
 		}
 	}
 	onDemand := p.clamp(initial*onDemandShare/count, p.scaling.Max)
-	requiredPreemptible := p.required(baseline) - float64(onDemand)*count
+	requiredPreemptible := p.requiredReplicas(baseline) - float64(onDemand)*count
 	for _, d := range domains {
 		minimum := max(onDemand, int(math.Ceil(baseline/count))-d.Preemptible)
 		p.onDemand[d.Name] = max(min(p.lastOnDemand(d), minimum), onDemand)
@@ -131,7 +137,7 @@
 			preemptible = 0
 		}
 		if now-p.startedAt < peakRetention {
-			// The previous lease holder may have ordered these for a peak before startedAt.
+			// The previous lease holder may have ordered the running replicas for a peak before startedAt.
 			preemptible = max(preemptible, min(d.Preemptible, p.scaling.Max-p.onDemand[d.Name]))
 		}
 		orders = append(orders, Order{Domain: d.Name, Preemptible: true, Count: preemptible})
@@ -139,7 +145,8 @@
 	return orders
 }
 
-// lastOnDemand returns the number of on-demand replicas last planned in a failure domain, or of those running if none was planned.
+// lastOnDemand returns the number of on-demand replicas last planned for a failure domain, or the number running if none
+// was planned.
 func (p *Planner) lastOnDemand(d Domain) int {
 	if count, ok := p.onDemand[d.Name]; ok {
 		return count
@@ -147,7 +154,8 @@
 	return d.OnDemand
 }
 
-// clamp rounds count up and limits it to the minimum per failure domain and to maximum, which takes precedence.
+// clamp rounds count up and limits it to the configured minimum per failure domain and to maximum, which takes
+// precedence.
 func (p *Planner) clamp(count float64, maximum int) int {
 	return min(max(int(math.Ceil(count)), p.scaling.Min), max(maximum, 0))
 }
--- a/chivescale/plan_test.go
+++ b/chivescale/plan_test.go
@@ -8,12 +8,12 @@
 	"chivedrift/chivetable"
 )
 
-// scaling returns settings with cheap preemptible replicas in three failure domains.
+// scaling returns settings for three failure domains with cheap preemptible replicas.
 func scaling() chivetable.Scaling {
 	return chivetable.Scaling{Min: 1, Max: 120, Boot: 4 * time.Second, PreemptiblePrice: 0.18, Prices: map[string]float64{"a": 0.85, "b": 1.2, "c": 1}}
 }
 
-const initial = 90
+const initialReplicas = 90
 
 func domains(onDemand, preemptible int) []chivescale.Domain {
 	var all []chivescale.Domain
@@ -23,7 +23,7 @@
 	return all
 }
 
-// total returns the sum of the counts of one kind.
+// total returns the sum of the ordered replicas of one kind.
 func total(orders []chivescale.Order, preemptible bool) (count int) {
 	for _, o := range orders {
 		if o.Preemptible == preemptible {
@@ -33,11 +33,11 @@
 	return count
 }
 
-// Guards against on-demand replicas being removed before the preemptible ones that replace them accept requests.
+// Guards against on-demand replicas that are removed before the preemptible ones that replace them accept requests.
 func TestOnDemandReplicasAreReducedAsPreemptibleOnesStart(t *testing.T) {
-	p := chivescale.NewPlanner(0, scaling(), initial)
+	p := chivescale.NewPlanner(0, scaling(), initialReplicas)
 	orders := p.Plan(0, 0, domains(30, 0))
-	if got := total(orders, false); got != initial {
+	if got := total(orders, false); got != initialReplicas {
 		t.Errorf("%d on-demand replicas are ordered before any preemptible one is running", got)
 	}
 	if got := total(orders, true); got == 0 {
@@ -45,18 +45,18 @@
 	}
 	for running := range 49 {
 		orders = p.Plan(time.Duration(running)*time.Second, 0, domains(30, running))
-		if got := total(orders, false) + 3*running; got < initial {
-			t.Errorf("with %d preemptible replicas in each failure domain, %d replicas remain of %d", running, got, initial)
+		if got := total(orders, false) + 3*running; got < initialReplicas {
+			t.Errorf("with %d preemptible replicas in each failure domain, %d replicas remain of %d", running, got, initialReplicas)
 		}
 	}
-	if got := total(orders, false); got > initial/2 {
+	if got := total(orders, false); got > initialReplicas/2 {
 		t.Errorf("%d on-demand replicas are kept", got)
 	}
 }
 
-// Guards against replicas for a burst being ordered late or above the maximum of a failure domain.
+// Guards against replicas for a burst that are ordered late, or in excess of a failure domain's maximum.
 func TestBurstOrdersReplicasImmediately(t *testing.T) {
-	p := chivescale.NewPlanner(0, scaling(), initial)
+	p := chivescale.NewPlanner(0, scaling(), initialReplicas)
 	p.Plan(0, 400, domains(6, 48))
 	before := total(p.Plan(time.Second, 400, domains(6, 48)), true)
 	orders := p.Plan(2*time.Second, 1200, domains(6, 48))
@@ -77,9 +77,9 @@
 	}
 }
 
-// Guards against replicas being removed between bursts, which loses their caches.
+// Guards against replicas that are removed between bursts and lose their caches.
 func TestReplicasAreKeptAfterABurst(t *testing.T) {
-	p := chivescale.NewPlanner(0, scaling(), initial)
+	p := chivescale.NewPlanner(0, scaling(), initialReplicas)
 	p.Plan(25*time.Second, 1000, domains(6, 48))
 	peak := total(p.Plan(26*time.Second, 100, domains(6, 80)), true)
 	if got := total(p.Plan(44*time.Second, 100, domains(6, 80)), true); got != peak {
@@ -90,9 +90,9 @@
 	}
 }
 
-// Guards against lost capacity when a failure domain has no preemptible replicas.
+// Guards against a loss of capacity when a failure domain has no preemptible replicas left: the others must replace them.
 func TestOtherDomainsReplaceUnavailableReplicas(t *testing.T) {
-	p := chivescale.NewPlanner(0, scaling(), initial)
+	p := chivescale.NewPlanner(0, scaling(), initialReplicas)
 	p.Plan(0, 400, domains(6, 48))
 	before := p.Plan(time.Second, 400, domains(6, 48))
 	p.MarkUnavailable(time.Second, "b")
@@ -109,73 +109,74 @@
 	}
 }
 
-// Guards against a new lease holder removing replicas ordered for a burst before its tenure.
+// Guards against a new lease holder that removes replicas which the previous one ordered for a burst.
 func TestSuccessorKeepsRunningReplicas(t *testing.T) {
-	p := chivescale.NewPlanner(100*time.Second, scaling(), initial)
+	p := chivescale.NewPlanner(100*time.Second, scaling(), initialReplicas)
 	orders := p.Plan(100*time.Second, 0, domains(6, 100))
 	if got := total(orders, true); got != 300 {
 		t.Errorf("%d preemptible replicas are ordered, 300 are running", got)
 	}
 }
 
-// Guards against fewer replicas than initially where preemptible ones are too expensive or do not exist.
+// Guards against fewer replicas than the initial ones where preemptible ones are too expensive or do not exist.
 func TestReplicasAreNotReducedWithoutCheapPreemptibleOnes(t *testing.T) {
 	for _, price := range []float64{0, 0.9} {
 		s := scaling()
 		s.PreemptiblePrice = price
-		p := chivescale.NewPlanner(0, s, initial)
+		p := chivescale.NewPlanner(0, s, initialReplicas)
 		orders := p.Plan(0, 0, domains(30, 0))
-		if got := total(orders, false); got != initial || total(orders, true) != 0 {
+		if got := total(orders, false); got != initialReplicas || total(orders, true) != 0 {
 			t.Errorf("price %v: ordered %v", price, orders)
 		}
-		if got := total(p.Plan(time.Second, 1200, domains(30, 0)), false); got <= initial {
+		if got := total(p.Plan(time.Second, 1200, domains(30, 0)), false); got <= initialReplicas {
 			t.Errorf("price %v: %d on-demand replicas are ordered in a burst", price, got)
 		}
 	}
 }
 
-// simulatedFleet is a queue of requests served by replicas at a fixed rate.
+// simulatedFleet is a queue of requests that replicas serve at a fixed rate; onTime and late count the arrived requests.
 type simulatedFleet struct {
-	waiting float64
-	served  float64
-	late    float64
+	queued float64
+	onTime float64
+	late   float64
 }
 
-// step simulates one time step; requests that arrive when the queue takes over a second to serve are late.
+// step simulates one time step. Requests that arrive while the queue takes more than a second to serve count as late.
 func (f *simulatedFleet) step(arrivals float64, replicas int, duration time.Duration) {
 	const perSecond = 3.5
 	capacity := float64(replicas) * perSecond
-	if f.waiting > capacity {
+	if f.queued > capacity {
 		f.late += arrivals
 	} else {
-		f.served += arrivals
+		f.onTime += arrivals
 	}
-	f.waiting = max(f.waiting+arrivals-capacity*duration.Seconds(), 0)
+	f.queued = max(f.queued+arrivals-capacity*duration.Seconds(), 0)
 }
 
-// Guards against late requests in a burst of three times the usual rate for nine seconds, with a boot time of four seconds.
+// Guards against late requests in a burst of nine seconds at three times the usual rate, with a boot time of four
+// seconds.
 func TestOrderedReplicasReduceLateRequestsInABurst(t *testing.T) {
 	const step = 250 * time.Millisecond
 	lateShare := func(orders bool) float64 {
-		p, f, preemptible := chivescale.NewPlanner(0, scaling(), initial), &simulatedFleet{}, initial
+		p, f, preemptible := chivescale.NewPlanner(0, scaling(), initialReplicas), &simulatedFleet{}, initialReplicas
 		var ordered []int
 		for now := time.Duration(0); now < 30*time.Second; now += step {
 			rate := 270.0
 			if now >= 5*time.Second && now < 14*time.Second {
 				rate *= 3
 			}
-			replicas := initial
+			replicas := initialReplicas
 			if orders {
 				replicas = preemptible
 			}
 			f.step(rate*step.Seconds(), replicas, step)
-			wanted := total(p.Plan(now, f.waiting+rate*0.7, domains(13, preemptible/3)), true)
-			ordered = append(ordered, wanted)
+			planned := total(p.Plan(now, f.queued+rate*0.7, domains(13, preemptible/3)), true)
+			ordered = append(ordered, planned)
 			if started := len(ordered) - 1 - int(scaling().Boot/step); started >= 0 {
 				preemptible = ordered[started]
 			}
 		}
-		return f.late / (f.late + f.served)
+		return f.late / (f.late + f.onTime)
 	}
 	fixed, ordered := lateShare(false), lateShare(true)
 	t.Logf("share of late requests: %.3f with a fixed number of replicas, %.3f with ordered ones", fixed, ordered)
--- a/chivescale/service.go
+++ b/chivescale/service.go
@@ -21,25 +21,28 @@
 // ServiceName is the name under which the service registers.
 const ServiceName = "replica orders"
 
-// ErrUnavailable means that the platform rejected an order, as no such replicas are available or it has seen a higher fencing token.
+// ErrUnavailable means that the platform rejected an order, because no such replicas are available or it has seen a
+// higher fencing token.
 var ErrUnavailable = errors.New("platform: replicas unavailable or fencing token outdated")
 
 const (
-	// planInterval is the interval between plans of the lease holder.
+	// planInterval is the interval at which the lease holder plans.
 	planInterval = 250 * time.Millisecond
-	// orderTimeout limits one call to the platform; none is made with less than minRemaining of the tenure left.
+	// orderTimeout limits one call to the platform; no call is made with less than minRemaining of the tenure left.
 	orderTimeout = time.Second
 	minRemaining = 100 * time.Millisecond
-	// resendInterval is how long after an order it is resent if replicas are missing, because of a crash or a lost order, or if it was refused.
+	// resendInterval is how long after an order it is sent again if it was refused, or if replicas are missing because
+	// of a crash or a lost order.
 	resendInterval = 3 * time.Second
-	// retryInterval is how long after a failed call the next one for the same replicas is made.
+	// retryInterval is how long after an unanswered or failed call the next one for the same replicas is made.
 	retryInterval = time.Second
-	// stabilizationPeriod is how long the number of replicas must be unchanged before it is recorded as the initial number.
+	// stabilizationPeriod is how long the number of replicas must be unchanged before it is recorded as the initial
+	// number.
 	stabilizationPeriod = 2 * time.Second
-	// kindsInterval is the minimum interval between reads of the replicas' kinds, kindsTimeout limits one read.
+	// kindsInterval is the minimum interval between reads of which replicas are preemptible, kindsTimeout limits one read.
 	kindsInterval = time.Second
 	kindsTimeout  = 2 * time.Second
-	// initialKey is the key under which the initial numbers of replicas are stored for later lease holders.
+	// initialKey is the lease key under which the initial numbers of replicas are stored for later holders.
 	initialKey = "replicas"
 )
 
@@ -55,9 +58,9 @@
 
 // Platform accepts orders.
 type Platform interface {
-	// OrderReplicas sends an order once; the error wraps ErrUnavailable if the platform rejects it.
+	// OrderReplicas makes one attempt to send an order; the error wraps ErrUnavailable if the platform rejects it.
 	OrderReplicas(ctx context.Context, token int64, order Order) error
-	// Preemptible returns for each registered replica, by id, whether it is preemptible.
+	// Preemptible returns, by id, whether each registered replica is preemptible.
 	Preemptible(ctx context.Context) (map[string]bool, error)
 }
 
@@ -65,7 +68,7 @@
 type Options struct {
 	Lease    Lease
 	Platform Platform
-	// Load returns the number of requests in progress in a pool on all nodes; ok is false if it is unknown.
+	// Load returns the number of requests in progress in a pool over all nodes; ok is false if it is unknown.
 	Load func(pool string) (requests float64, ok bool)
 	// SinceBoot reads a clock that keeps running while the machine is suspended.
 	SinceBoot func() time.Duration
@@ -79,14 +82,15 @@
 	preemptible bool
 }
 
-// sentOrder is the last order for an orderKey.
-type sentOrder struct {
-	count   int
-	at      time.Duration
-	refused bool
+// lastOrder is the last order for an orderKey, or before the first one, the number of replicas when planning began.
+type lastOrder struct {
+	count int
+	at    time.Duration
+	// failed means that the platform rejected the order, or that the call failed.
+	failed bool
 }
 
-// observedCount is a number of replicas and the time since which it is unchanged.
+// observedCount is a number of replicas and the time since which it has been unchanged.
 type observedCount struct {
 	count int
 	since time.Duration
@@ -94,28 +98,30 @@
 
 // Service orders replicas while this node holds the lease.
 type Service struct {
-	o      Options
-	duties chivekernel.Duties
+	opts  Options
+	tasks chivekernel.Duties
 
 	mu        sync.Mutex
 	table     *chivetable.Table
 	endpoints map[string]chivedirectory.Endpoint
 
-	// The fields below belong to the planning goroutine.
+	// The fields below are accessed only by the planning goroutine. All but kinds and kindsAt are reset when a tenure
+	// starts. token is the fencing token of the current tenure, or 0.
 	token    int64
 	planners map[string]*Planner
-	// initial holds the recorded numbers of replicas before the first order, by pool; observed those that may still change.
-	initial  map[string]int
-	observed map[string]observedCount
-	sent     map[orderKey]sentOrder
-	// kinds holds by id whether a replica is preemptible; kindsAt is when it was last requested.
+	// initial holds the recorded numbers of replicas before the first order, by pool; observed holds those that may still
+	// change.
+	initial    map[string]int
+	observed   map[string]observedCount
+	lastOrders map[orderKey]lastOrder
+	// kinds holds, by id, whether a replica is preemptible; kindsAt is when it was last requested.
 	kinds   map[string]bool
 	kindsAt time.Duration
 }
 
-// New returns a service that has ordered nothing.
-func New(o Options) *Service {
-	return &Service{o: o, endpoints: make(map[string]chivedirectory.Endpoint)}
+// New returns a service that has not sent any orders.
+func New(opts Options) *Service {
+	return &Service{opts: opts, endpoints: make(map[string]chivedirectory.Endpoint)}
 }
 
 // SetTable sets the current configuration.
@@ -125,7 +131,7 @@
 	s.table = table
 }
 
-// ApplyEndpoints applies a change to the directory.
+// ApplyEndpoints applies a change of the endpoint directory.
 func (s *Service) ApplyEndpoints(diff chivedirectory.Diff) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -139,15 +145,15 @@
 
 // Start starts planning.
 func (s *Service) Start(ctx context.Context) error {
-	s.duties.Begin(ctx, func(ctx context.Context) {
-		chivekernel.Every(ctx, planInterval, func(time.Time) { s.round(ctx) })
+	s.tasks.Begin(ctx, func(ctx context.Context) {
+		chivekernel.Every(ctx, planInterval, func(time.Time) { s.planAll(ctx) })
 	})
 	return nil
 }
 
 // Stop stops planning.
 func (s *Service) Stop(context.Context) error {
-	s.duties.End()
+	s.tasks.End()
 	return nil
 }
 
@@ -160,9 +166,9 @@
 	}{len(s.endpoints)}
 }
 
-// round plans every pool that has scaling settings.
-func (s *Service) round(ctx context.Context) {
-	tenure, ok := s.o.Lease.Tenure()
+// planAll plans every pool that has scaling settings, if this node holds the lease.
+func (s *Service) planAll(ctx context.Context) {
+	tenure, ok := s.opts.Lease.Tenure()
 	if !ok {
 		s.token = 0
 		return
@@ -179,28 +185,28 @@
 	s.readKinds(ctx, endpoints)
 	for _, pool := range table.Pools() {
 		if pool.Scaling != nil {
-			s.plan(ctx, &pool, endpoints)
+			s.planPool(ctx, &pool, endpoints)
 		}
 	}
 }
 
-// startTenure resets the planning state and reads the initial numbers recorded by earlier holders.
+// startTenure resets the planning state and reads the initial numbers of replicas recorded by earlier holders.
 func (s *Service) startTenure(ctx context.Context, token int64) {
 	s.token, s.planners, s.initial = token, make(map[string]*Planner), make(map[string]int)
-	s.observed, s.sent = make(map[string]observedCount), make(map[orderKey]sentOrder)
-	data := s.o.Lease.Value(initialKey)
+	s.observed, s.lastOrders = make(map[string]observedCount), make(map[orderKey]lastOrder)
+	data := s.opts.Lease.Value(initialKey)
 	if len(data) == 0 {
 		return
 	}
 	if err := msgpack.Unmarshal(data, &s.initial); err != nil {
-		chiveevent.ReplicasUnreadable.Log(ctx, s.o.Logger, slog.String("error", err.Error()))
+		chiveevent.ReplicasUnreadable.Log(ctx, s.opts.Logger, slog.String("error", err.Error()))
 		s.initial = make(map[string]int)
 	}
 }
 
 // readKinds reads which replicas are preemptible if the kind of any endpoint is unknown.
 func (s *Service) readKinds(ctx context.Context, endpoints map[string]chivedirectory.Endpoint) {
-	now := s.o.SinceBoot()
+	now := s.opts.SinceBoot()
 	isKnown := func(id string) bool {
 		_, ok := s.kinds[id]
 		return ok
@@ -210,21 +216,21 @@
 		return
 	}
 	s.kindsAt = now
-	limited, cancel := context.WithTimeout(ctx, kindsTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, kindsTimeout)
 	defer cancel()
-	if kinds, err := s.o.Platform.Preemptible(limited); err == nil {
+	if kinds, err := s.opts.Platform.Preemptible(callCtx); err == nil {
 		s.kinds = kinds
 	}
 }
 
-// plan plans a pool and sends the orders that are due.
-func (s *Service) plan(ctx context.Context, pool *chivetable.Pool, endpoints map[string]chivedirectory.Endpoint) {
-	domains := s.domains(pool, endpoints)
-	planner, ok := s.planner(ctx, pool, domains)
+// planPool plans a pool and sends the orders that are due. It does nothing while the load is unknown.
+func (s *Service) planPool(ctx context.Context, pool *chivetable.Pool, endpoints map[string]chivedirectory.Endpoint) {
+	domains := s.countReplicas(pool, endpoints)
+	planner, ok := s.plannerFor(ctx, pool, domains)
 	if !ok {
 		return
 	}
-	requests, known := s.o.Load(pool.Name)
+	requests, known := s.opts.Load(pool.Name)
 	if !known {
 		return
 	}
@@ -233,27 +239,28 @@
 		running[orderKey{pool.Name, d.Name, false}] = d.OnDemand
 		running[orderKey{pool.Name, d.Name, true}] = d.Preemptible
 	}
-	for _, o := range planner.Plan(s.o.SinceBoot(), requests, domains) {
+	for _, o := range planner.Plan(s.opts.SinceBoot(), requests, domains) {
 		o.Pool = pool.Name
-		s.order(ctx, planner, o, running[orderKey{o.Pool, o.Domain, o.Preemptible}], requests)
+		s.sendIfDue(ctx, planner, o, running[orderKey{o.Pool, o.Domain, o.Preemptible}], requests)
 	}
 }
 
-// planner returns the planner of a pool; ok is false until the initial number of its replicas is recorded.
-func (s *Service) planner(ctx context.Context, pool *chivetable.Pool, domains []Domain) (p *Planner, ok bool) {
+// plannerFor returns the planner of a pool; ok is false until the initial number of its replicas is recorded.
+func (s *Service) plannerFor(ctx context.Context, pool *chivetable.Pool, domains []Domain) (p *Planner, ok bool) {
 	if p := s.planners[pool.Name]; p != nil {
 		return p, true
 	}
 	if _, ok := s.initial[pool.Name]; !ok && !s.recordInitial(ctx, pool.Name, domains) {
 		return nil, false
 	}
-	s.planners[pool.Name] = NewPlanner(s.o.SinceBoot(), *pool.Scaling, s.initial[pool.Name])
+	s.planners[pool.Name] = NewPlanner(s.opts.SinceBoot(), *pool.Scaling, s.initial[pool.Name])
 	return s.planners[pool.Name], true
 }
 
-// recordInitial stores the number of a pool's replicas once it has been unchanged for stabilizationPeriod, and reports whether it did.
+// recordInitial stores the number of a pool's replicas once it has been unchanged for stabilizationPeriod, and reports
+// whether it did.
 func (s *Service) recordInitial(ctx context.Context, pool string, domains []Domain) bool {
-	now, total := s.o.SinceBoot(), 0
+	now, total := s.opts.SinceBoot(), 0
 	for _, d := range domains {
 		total += d.Total()
 	}
@@ -266,15 +273,16 @@
 	initial := maps.Clone(s.initial)
 	initial[pool] = total
 	data, err := msgpack.Marshal(initial)
-	if err != nil || s.o.Lease.Write(ctx, s.token, initialKey, data) != nil {
+	if err != nil || s.opts.Lease.Write(ctx, s.token, initialKey, data) != nil {
 		return false
 	}
 	s.initial = initial
 	return true
 }
 
-// domains counts the replicas of a pool that accept requests, excluding those of unknown kind.
-func (s *Service) domains(pool *chivetable.Pool, endpoints map[string]chivedirectory.Endpoint) []Domain {
+// countReplicas counts the replicas of a pool that accept requests, by failure domain and kind, excluding those of
+// unknown kind.
+func (s *Service) countReplicas(pool *chivetable.Pool, endpoints map[string]chivedirectory.Endpoint) []Domain {
 	byName := make(map[string]*Domain)
 	for name := range pool.Scaling.Prices {
 		byName[name] = &Domain{Name: name}
@@ -298,48 +306,50 @@
 	var domains []Domain
 	for _, name := range slices.Sorted(maps.Keys(byName)) {
 		// A failure domain with a price but no replicas may not be in use by the pool.
-		if byName[name].Total() > 0 || s.hasOrdered(pool.Name, name) {
+		if byName[name].Total() > 0 || s.wasPlanned(pool.Name, name) {
 			domains = append(domains, *byName[name])
 		}
 	}
 	return domains
 }
 
-func (s *Service) hasOrdered(pool, domain string) bool {
-	_, onDemand := s.sent[orderKey{pool, domain, false}]
-	return onDemand
+// wasPlanned reports whether a failure domain has been planned in the current tenure.
+func (s *Service) wasPlanned(pool, domain string) bool {
+	_, ok := s.lastOrders[orderKey{pool, domain, false}]
+	return ok
 }
 
-// order sends an order that differs from the last one, or that is unchanged but lacks replicas after resendInterval.
-func (s *Service) order(ctx context.Context, planner *Planner, o Order, running int, requests float64) {
-	now, key := s.o.SinceBoot(), orderKey{o.Pool, o.Domain, o.Preemptible}
-	last, ok := s.sent[key]
+// sendIfDue sends an order that differs from the last one, or that is unchanged but lacks replicas after resendInterval.
+// After a failed order nothing is sent for the rest of the interval.
+func (s *Service) sendIfDue(ctx context.Context, planner *Planner, o Order, running int, requests float64) {
+	now, key := s.opts.SinceBoot(), orderKey{o.Pool, o.Domain, o.Preemptible}
+	last, ok := s.lastOrders[key]
 	if !ok {
-		last = sentOrder{count: running, at: now}
-		s.sent[key] = last
+		last = lastOrder{count: running, at: now}
+		s.lastOrders[key] = last
 	}
 	isRecent := now-last.at < resendInterval
-	if last.refused && isRecent || last.count == o.Count && (isRecent || running >= o.Count) {
+	if last.failed && isRecent || last.count == o.Count && (isRecent || running >= o.Count) {
 		return
 	}
-	tenure, ok := s.o.Lease.Tenure()
+	tenure, ok := s.opts.Lease.Tenure()
 	if !ok || tenure.Token != s.token || tenure.Remaining < minRemaining {
 		return
 	}
-	limited, cancel := context.WithTimeout(ctx, min(orderTimeout, tenure.Remaining))
+	callCtx, cancel := context.WithTimeout(ctx, min(orderTimeout, tenure.Remaining))
 	defer cancel()
-	err := s.o.Platform.OrderReplicas(limited, s.token, o)
+	err := s.opts.Platform.OrderReplicas(callCtx, s.token, o)
 	switch {
 	case err == nil:
-		s.sent[key] = sentOrder{count: o.Count, at: now}
+		s.lastOrders[key] = lastOrder{count: o.Count, at: now}
 	case errors.Is(err, ErrUnavailable):
 		if o.Preemptible {
 			planner.MarkUnavailable(now, o.Domain)
 		}
-		s.sent[key] = sentOrder{count: o.Count, at: now, refused: true}
+		s.lastOrders[key] = lastOrder{count: o.Count, at: now, failed: true}
 	default:
-		// The platform may be away: the next try comes a retryInterval later.
-		s.sent[key] = sentOrder{count: last.count, at: now - resendInterval + retryInterval, refused: true}
+		// The platform may be unreachable. The time is set back so that the next attempt follows after retryInterval.
+		s.lastOrders[key] = lastOrder{count: last.count, at: now - resendInterval + retryInterval, failed: true}
 	}
 	s.logOrder(ctx, o, running, requests, err)
 }
@@ -350,8 +360,8 @@
 		slog.Int("running", running), slog.Float64("requests", requests), slog.Int64("token", s.token),
 	}
 	if err != nil {
-		chiveevent.ReplicasRefused.Log(ctx, s.o.Logger, append(attributes, slog.String("error", err.Error()))...)
+		chiveevent.ReplicasRefused.Log(ctx, s.opts.Logger, append(attributes, slog.String("error", err.Error()))...)
 		return
 	}
-	chiveevent.ReplicasOrdered.Log(ctx, s.o.Logger, attributes...)
+	chiveevent.ReplicasOrdered.Log(ctx, s.opts.Logger, attributes...)
 }
--- a/chivescale/service_test.go
+++ b/chivescale/service_test.go
@@ -18,29 +18,29 @@
 	"chivedrift/chivetable"
 )
 
-// lease is a fake lease that is held while its token is not 0.
-type lease struct {
+// fakeLease is a lease that is held while its token is not 0.
+type fakeLease struct {
 	mu     sync.Mutex
 	token  int64
 	values map[string][]byte
 }
 
-func (l *lease) Tenure() (chivelease.Tenure, bool) {
+func (l *fakeLease) Tenure() (chivelease.Tenure, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return chivelease.Tenure{Token: l.token, Remaining: time.Second, Era: 1}, l.token > 0
 }
 
-// set starts a tenure with a fencing token; 0 ends the tenure.
-func (l *lease) set(token int64) {
+// setToken starts a tenure with a fencing token; 0 ends the tenure.
+func (l *fakeLease) setToken(token int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.token = token
 }
 
-func (l *lease) Value(key string) []byte { return l.values[key] }
+func (l *fakeLease) Value(key string) []byte { return l.values[key] }
 
-func (l *lease) Write(_ context.Context, token int64, key string, value []byte) error {
+func (l *fakeLease) Write(_ context.Context, token int64, key string, value []byte) error {
 	if token != l.token {
 		return chivelease.ErrNotHeld
 	}
@@ -48,38 +48,38 @@
 	return nil
 }
 
-// platform is a fake platform that records orders; it starts replicas only when start is called.
-type platform struct {
+// fakePlatform records orders without carrying them out; replicas are added by startReplicas.
+type fakePlatform struct {
 	t       *testing.T
 	service *chivescale.Service
-	lease   *lease
+	lease   *fakeLease
 
 	mu        sync.Mutex
 	kinds     map[string]bool
 	endpoints []chivedirectory.Endpoint
 	orders    []chivescale.Order
-	// refusal is what orders end with; nil accepts them.
-	refusal error
+	// orderErr is the result of every order.
+	orderErr error
 }
 
-func (p *platform) OrderReplicas(_ context.Context, token int64, o chivescale.Order) error {
+func (p *fakePlatform) OrderReplicas(_ context.Context, token int64, o chivescale.Order) error {
 	if tenure, _ := p.lease.Tenure(); token != tenure.Token {
 		p.t.Errorf("order with token %d in the tenure with token %d", token, tenure.Token)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.orders = append(p.orders, o)
-	return p.refusal
+	return p.orderErr
 }
 
-func (p *platform) Preemptible(context.Context) (map[string]bool, error) {
+func (p *fakePlatform) Preemptible(context.Context) (map[string]bool, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return maps.Clone(p.kinds), nil
 }
 
 // takeOrders returns the orders since the last call.
-func (p *platform) takeOrders() []chivescale.Order {
+func (p *fakePlatform) takeOrders() []chivescale.Order {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	orders := p.orders
@@ -87,8 +87,8 @@
 	return orders
 }
 
-// start registers count replicas of one kind in a failure domain.
-func (p *platform) start(domain string, preemptible bool, count int) {
+// startReplicas registers replicas of one kind in a failure domain.
+func (p *fakePlatform) startReplicas(domain string, preemptible bool, count int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for range count {
@@ -99,13 +99,13 @@
 	}
 }
 
-func newPlatform(t *testing.T) *platform {
+func newFakePlatform(t *testing.T) *fakePlatform {
 	t.Helper()
-	began := time.Now()
-	p := &platform{t: t, lease: &lease{values: make(map[string][]byte)}, kinds: make(map[string]bool)}
+	startedAt := time.Now()
+	p := &fakePlatform{t: t, lease: &fakeLease{values: make(map[string][]byte)}, kinds: make(map[string]bool)}
 	p.service = chivescale.New(chivescale.Options{
 		Lease: p.lease, Platform: p, Load: func(string) (float64, bool) { return 0, true },
-		SinceBoot: func() time.Duration { return time.Since(began) + time.Hour }, Logger: slog.New(slog.DiscardHandler),
+		SinceBoot: func() time.Duration { return time.Since(startedAt) + time.Hour }, Logger: slog.New(slog.DiscardHandler),
 	})
 	s := scaling()
 	table, err := chivetable.New(chivetable.Spec{Pools: []chivetable.Pool{{Name: "engines", Scaling: &s}}})
@@ -120,19 +120,20 @@
 	return p
 }
 
-// Guards against orders while replicas are still registering, and against orders without the lease.
+// Guards against orders without the lease, and against orders while replicas are still registering, which would count
+// too few as initial.
 func TestNothingIsOrderedBeforeReplicaCountIsStable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPlatform(t)
-		p.start("a", false, 10)
+		p := newFakePlatform(t)
+		p.startReplicas("a", false, 10)
 		time.Sleep(10 * time.Second)
 		if orders := p.takeOrders(); len(orders) > 0 {
 			t.Fatalf("ordered without the lease: %v", orders)
 		}
-		p.lease.set(1)
+		p.lease.setToken(1)
 		for range 3 {
 			time.Sleep(time.Second)
-			p.start("b", false, 10)
+			p.startReplicas("b", false, 10)
 		}
 		if orders := p.takeOrders(); len(orders) > 0 {
 			t.Fatalf("ordered while replicas were registering: %v", orders)
@@ -144,22 +145,22 @@
 	})
 }
 
-// Guards against a new lease holder counting replicas ordered by the previous one as initial.
+// Guards against a new lease holder that counts replicas ordered by the previous one as initial.
 func TestSuccessorUsesRecordedInitialReplicas(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPlatform(t)
+		p := newFakePlatform(t)
 		for _, d := range []string{"a", "b", "c"} {
-			p.start(d, false, 30)
+			p.startReplicas(d, false, 30)
 		}
-		p.lease.set(1)
+		p.lease.setToken(1)
 		time.Sleep(5 * time.Second)
 		for _, d := range []string{"a", "b", "c"} {
-			p.start(d, true, 48)
+			p.startReplicas(d, true, 48)
 		}
-		p.lease.set(0)
+		p.lease.setToken(0)
 		time.Sleep(5 * time.Second)
 		p.takeOrders()
-		p.lease.set(2)
+		p.lease.setToken(2)
 		time.Sleep(30 * time.Second)
 		for _, o := range p.takeOrders() {
 			if !o.Preemptible && o.Count > 6 {
@@ -169,11 +170,11 @@
 	})
 }
 
-// Guards against a storm of orders that the platform refuses or does not answer.
+// Guards against orders that are sent again at every plan while the platform refuses or does not answer them.
 func TestFailedOrdersAreRateLimited(t *testing.T) {
 	cases := map[string]struct {
-		refusal error
-		most    int
+		orderErr  error
+		maxOrders int
 	}{
 		"refused":    {chivescale.ErrUnavailable, 3 * 60 / 2},
 		"unanswered": {context.DeadlineExceeded, 3 * 60 * 2},
@@ -181,15 +182,15 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := newPlatform(t)
-				p.refusal = c.refusal
+				p := newFakePlatform(t)
+				p.orderErr = c.orderErr
 				for _, d := range []string{"a", "b", "c"} {
-					p.start(d, false, 30)
+					p.startReplicas(d, false, 30)
 				}
-				p.lease.set(1)
+				p.lease.setToken(1)
 				time.Sleep(60 * time.Second)
-				if orders := len(p.takeOrders()); orders > c.most || orders == 0 {
-					t.Errorf("%d orders in a minute, expected %d at most", orders, c.most)
+				if orders := len(p.takeOrders()); orders > c.maxOrders || orders == 0 {
+					t.Errorf("%d orders in a minute, expected %d at most", orders, c.maxOrders)
 				}
 			})
 		})
