--- a/chivescale/plan.go
+++ b/chivescale/plan.go
@@ -145,8 +145,8 @@
 	return orders
 }
 
-// lastOnDemand returns the number of on-demand replicas last planned for a failure domain, or the number running if none
-// was planned.
+// lastOnDemand returns the number of on-demand replicas last planned for a failure domain, or the number running if
+// none was planned.
 func (p *Planner) lastOnDemand(d Domain) int {
 	if count, ok := p.onDemand[d.Name]; ok {
 		return count
--- a/chivescale/plan_test.go
+++ b/chivescale/plan_test.go
@@ -90,7 +90,8 @@
 	}
 }
 
-// Guards against a loss of capacity when a failure domain has no preemptible replicas left: the others must replace them.
+// Guards against a loss of capacity when a failure domain has no preemptible replicas left: the others must replace
+// them.
 func TestOtherDomainsReplaceUnavailableReplicas(t *testing.T) {
 	p := chivescale.NewPlanner(0, scaling(), initialReplicas)
 	p.Plan(0, 400, domains(6, 48))
@@ -134,7 +135,8 @@
 	}
 }
 
-// simulatedFleet is a queue of requests that replicas serve at a fixed rate; onTime and late count the arrived requests.
+// simulatedFleet is a queue of requests that replicas serve at a fixed rate; onTime and late count the arrived
+// requests.
 type simulatedFleet struct {
 	queued float64
 	onTime float64
--- a/chivescale/service.go
+++ b/chivescale/service.go
@@ -39,7 +39,8 @@
 	// stabilizationPeriod is how long the number of replicas must be unchanged before it is recorded as the initial
 	// number.
 	stabilizationPeriod = 2 * time.Second
-	// kindsInterval is the minimum interval between reads of which replicas are preemptible, kindsTimeout limits one read.
+	// kindsInterval is the minimum interval between reads of which replicas are preemptible, kindsTimeout limits one
+	// read.
 	kindsInterval = time.Second
 	kindsTimeout  = 2 * time.Second
 	// initialKey is the lease key under which the initial numbers of replicas are stored for later holders.
@@ -109,8 +110,8 @@
 	// starts. token is the fencing token of the current tenure, or 0.
 	token    int64
 	planners map[string]*Planner
-	// initial holds the recorded numbers of replicas before the first order, by pool; observed holds those that may still
-	// change.
+	// initial holds the recorded numbers of replicas before the first order, by pool; observed holds those that may
+	// still change.
 	initial    map[string]int
 	observed   map[string]observedCount
 	lastOrders map[orderKey]lastOrder
@@ -319,8 +320,8 @@
 	return ok
 }
 
-// sendIfDue sends an order that differs from the last one, or that is unchanged but lacks replicas after resendInterval.
-// After a failed order nothing is sent for the rest of the interval.
+// sendIfDue sends an order that differs from the last one, or that is unchanged but lacks replicas after
+// resendInterval. After a failed order nothing is sent for the rest of the interval.
 func (s *Service) sendIfDue(ctx context.Context, planner *Planner, o Order, running int, requests float64) {
 	now, key := s.opts.SinceBoot(), orderKey{o.Pool, o.Domain, o.Preemptible}
 	last, ok := s.lastOrders[key]
--- a/chiveusage/collector.go
+++ b/chiveusage/collector.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// contactTimeout is how long after its last message a process still contributes to the fleet's time and reports wait for its starts.
+// contactTimeout is how long after its last message a process still contributes to the fleet's wall-clock time, and
+// reports wait for its starts.
 const contactTimeout = 10 * time.Second
 
-// loadTimeout is how long after its last message the load of a process is included.
+// loadTimeout is how long after its last message a process is included in the load.
 const loadTimeout = 3 * time.Second
 
 // processKey identifies a process of a node.
@@ -20,20 +21,22 @@
 
 // processStarts is what a collector has received from one process.
 type processStarts struct {
+	// next is the sequence number of the next expected start.
 	next   uint64
-	starts []start
-	// clockOffset is the sender's clock minus the collector's. Delayed messages underestimate it, so the maximum is kept.
+	starts []requestStart
+	// clockOffset is the sender's clock minus the collector's. A delayed message underestimates it, so the maximum over
+	// all messages is kept.
 	clockOffset time.Duration
-	// bootWall is the sender's wall-clock time at the collector's boot, derived from its last message.
-	bootWall time.Duration
-	// completeUntil is the time up to which all starts have been received, lastHeard when the last message arrived.
+	// wallAtBoot is the sender's wall-clock time at the collector's boot, derived from its last message.
+	wallAtBoot time.Duration
+	// completeUntil is the time up to which all starts have been received; lastHeard is when the last message arrived.
 	completeUntil time.Duration
 	lastHeard     time.Duration
 	// loads holds the numbers of requests in progress by pool, as of the last message.
 	loads map[string]int64
 }
 
-// collector keeps the starts of the fleet. All times are on its own clock since boot.
+// collector holds the starts of the fleet. All times are on its own clock since boot.
 type collector struct {
 	incarnation int64
 	retention   time.Duration
@@ -68,7 +71,7 @@
 	}
 	p.clockOffset = max(p.clockOffset, clock-now)
 	sent := clock - p.clockOffset
-	p.bootWall = time.Duration(m.WallMs)*time.Millisecond - sent
+	p.wallAtBoot = time.Duration(m.WallMs)*time.Millisecond - sent
 	p.lastHeard, p.loads = now, m.Loads
 	p.next = max(p.next, m.Oldest)
 	if m.First <= p.next {
@@ -77,11 +80,11 @@
 	return StartsAck{Incarnation: m.Incarnation, Collector: c.incarnation, Next: p.next}
 }
 
-// add appends the starts of a message sent at sent that have not been received yet.
+// add appends those starts of a message that have not been received before; sent is when the message was sent.
 func (p *processStarts) add(m Starts, sent time.Duration) {
 	for i := int(p.next - m.First); i < len(m.AgesMs) && i < len(m.Teams); i++ {
 		if team := m.Teams[i]; team >= 0 && team < len(m.Names) {
-			p.starts = append(p.starts, start{sent - time.Duration(m.AgesMs[i])*time.Millisecond, m.Names[team]})
+			p.starts = append(p.starts, requestStart{sent - time.Duration(m.AgesMs[i])*time.Millisecond, m.Names[team]})
 		}
 	}
 	p.next = max(p.next, m.First+uint64(len(m.AgesMs)))
@@ -90,26 +93,27 @@
 	}
 }
 
-// prune drops starts and processes older than the retention period.
+// prune drops starts older than the retention period, and processes without starts that were last heard before it.
 func (c *collector) prune(now time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for key, p := range c.processes {
-		p.starts = slices.DeleteFunc(p.starts, func(s start) bool { return now-s.at > c.retention })
+		p.starts = slices.DeleteFunc(p.starts, func(s requestStart) bool { return now-s.at > c.retention })
 		if len(p.starts) == 0 && now-p.lastHeard > c.retention {
 			delete(c.processes, key)
 		}
 	}
 }
 
-// wallAtBoot returns the wall-clock time at the collector's boot, as the median over the nodes so that single clocks that step have no effect.
+// wallAtBoot returns the wall-clock time at the collector's boot. It is the median over the nodes, so that single
+// clocks that step have no effect. The second result is false if no node was heard within contactTimeout.
 func (c *collector) wallAtBoot(now time.Duration) (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var walls []time.Duration
 	for _, p := range c.processes {
 		if now-p.lastHeard < contactTimeout {
-			walls = append(walls, p.bootWall)
+			walls = append(walls, p.wallAtBoot)
 		}
 	}
 	if len(walls) == 0 {
@@ -119,7 +123,8 @@
 	return walls[len(walls)/2], true
 }
 
-// isComplete reports whether all nodes that are up, or were heard within contactTimeout, have sent their starts up to a time.
+// isComplete reports whether all nodes that are up, and all processes heard within contactTimeout, have sent their
+// starts up to a time.
 func (c *collector) isComplete(now, until time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -139,7 +144,8 @@
 	return true
 }
 
-// load returns the number of requests in progress in a pool, over the processes heard within loadTimeout; ok is false if there are none.
+// load returns the number of requests in progress in a pool, over the processes heard within loadTimeout; ok is false
+// if there are none.
 func (c *collector) load(now time.Duration, pool string) (requests float64, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,7 +157,7 @@
 	return requests, ok
 }
 
-// count returns the starts from from up to but excluding until, by team.
+// count returns the number of starts between from and until, by team; until is exclusive.
 func (c *collector) count(from, until time.Duration) map[string]int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/chiveusage/doc.go
+++ b/chiveusage/doc.go
@@ -1,6 +1,9 @@
-// Package chiveusage counts, by team, the requests that started in each window of wall-clock time, and reports each window once.
+// Package chiveusage counts the requests of each team that start in each window of wall-clock time, and reports each
+// window to the platform once. A window is omitted if its deadline has passed, or if it may already have been reported
+// with other counts.
 //
-// Every node records a request when an endpoint first answers it, and sends these starts to a few collectors, the nodes that have been up longest. One
-// of the collectors holds the lease and reports. Starts are dated by clocks that do not step; the wall clock is the median over the fleet. Before a
-// report is sent it is written next to the lease, so that a successor repeats it unchanged and no window is reported with two different counts.
+// Each node records a start when an endpoint first answers a request, and sends its starts to a few collectors, the
+// nodes that have been up longest. The collector that holds the lease reports. Starts are dated by clocks since boot,
+// which do not step; the wall-clock time is the median over the fleet. A report is stored beside the lease before it
+// is sent, so that a later lease holder resends it unchanged and no window is reported with two different counts.
 package chiveusage
--- a/chiveusage/ledger.go
+++ b/chiveusage/ledger.go
@@ -7,7 +7,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ledgerKey is the key of the ledger in the topic of the lease.
+// ledgerKey is the lease key under which the ledger is stored.
 const ledgerKey = "usage"
 
 // Report is the usage of one window: the number of requests that started in it, by team.
@@ -25,14 +25,16 @@
 	return requests
 }
 
-// ledger is the state that the lease holder persists for its successors: the reports that may have been sent.
+// ledger is the state that the lease holder stores for later holders: which windows are settled, and the reports that
+// may have been sent.
 type ledger struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the encoder
-	// Era is the store's era in which the ledger was written. In a later one, newer ledgers may have been lost.
+	// Era is the era of the store in which the ledger was written. A later era means that the store was restored and
+	// may have lost newer ledgers.
 	Era int64
-	// Last is the newest window that is settled: reported, in Reports, or omitted.
+	// Last is the newest settled window. A window is settled once its counts are final or it is omitted.
 	Last int64
-	// Reports may have been sent, and are resent unchanged until the platform confirms them.
+	// Reports holds the reports that may have been sent; they are resent unchanged until the platform confirms them.
 	Reports []Report
 }
 
@@ -75,8 +77,8 @@
 // firstEra is the era of a store that has never been restored from an older copy.
 const firstEra = 1
 
-// ledgerForTenure returns the initial ledger of a tenure from the stored one. If the store may have lost a newer ledger, all windows up to the current
-// one are omitted, since they may already have been reported.
+// ledgerForTenure derives the initial ledger of a tenure from the stored one. If the store may have lost a newer
+// ledger, all windows up to the current one are omitted, because they may already have been reported.
 func ledgerForTenure(data []byte, era, current int64) (ledger, error) {
 	omitted := ledger{Era: era, Last: current}
 	if len(data) == 0 && era == firstEra {
--- a/chiveusage/service.go
+++ b/chiveusage/service.go
@@ -16,18 +16,19 @@
 const ServiceName = "usage"
 
 const (
-	// collectorCount is the number of nodes that keep the fleet's starts: one reports, the others can take over.
+	// collectorCount is the number of nodes that hold the fleet's starts: one reports, the others can take over.
 	collectorCount = 3
-	// sendEvery is the interval between messages to a collector. It bounds the starts that are lost when a node crashes.
-	sendEvery = 250 * time.Millisecond
-	// reportEvery is how often the lease holder checks for due reports.
-	reportEvery = 200 * time.Millisecond
-	// extraRetention is how long starts are kept after the deadline of their window.
+	// sendInterval is the interval between messages to a collector. A node that crashes loses the starts since its last
+	// message.
+	sendInterval = 250 * time.Millisecond
+	// reportInterval is the interval at which the lease holder checks for due reports.
+	reportInterval = 200 * time.Millisecond
+	// extraRetention is the minimum time for which starts are retained after the deadline of their window.
 	extraRetention = 2 * time.Second
 	inboxSize      = 1024
 )
 
-// Options configure a Service.
+// Options holds the dependencies and settings of a Service.
 type Options struct {
 	Mesh        *chivewire.Mesh
 	Incarnation int64
@@ -35,7 +36,7 @@
 	Loads    func() map[string]int64
 	Lease    Lease
 	Platform Platform
-	// Window is the length of a window, Delay the time after its end within which it must be reported.
+	// Window is the length of a window, Delay the maximum time between its end and its report.
 	Window time.Duration
 	Delay  time.Duration
 	// SinceBoot reads a clock that keeps running while the machine is suspended.
@@ -45,49 +46,51 @@
 
 // Service records, collects and reports usage.
 type Service struct {
-	o         Options
+	opts      Options
 	inbox     *chivewire.Inbox
 	recorder  *recorder
 	collector *collector
 	reporter  *reporter
 	// rank is this node's rank among the collectors, or -1 if it is not one.
-	rank   atomic.Int64
-	duties chivekernel.Duties
+	rank  atomic.Int64
+	tasks chivekernel.Duties
 }
 
 // New returns a service with no recorded starts.
-func New(o Options) *Service {
-	retention := o.Window + o.Delay + extraRetention
+func New(opts Options) *Service {
+	retention := opts.Window + opts.Delay + extraRetention
 	s := &Service{
-		o: o, inbox: chivewire.NewInbox(o.Mesh, inboxSize), recorder: newRecorder(o.Incarnation, retention), collector: newCollector(o.Incarnation, retention),
+		opts: opts, inbox: chivewire.NewInbox(opts.Mesh, inboxSize), recorder: newRecorder(opts.Incarnation, retention),
+		collector: newCollector(opts.Incarnation, retention),
 	}
 	s.rank.Store(-1)
-	s.reporter = &reporter{o: o, collector: s.collector}
+	s.reporter = &reporter{opts: opts, collector: s.collector}
 	chivewire.Queue[Starts](s.inbox, chivewire.KindStarts)
 	chivewire.Queue[StartsAck](s.inbox, chivewire.KindStartsAck)
 	return s
 }
 
 // RecordStart records the start of a team's request.
-func (s *Service) RecordStart(team string) { s.recorder.record(s.o.SinceBoot(), team) }
+func (s *Service) RecordStart(team string) { s.recorder.record(s.opts.SinceBoot(), team) }
 
-// Rank returns this node's rank among the collectors; ok is false if it is not one. The first collector should hold the lease, since it has collected
-// for the longest time, including from nodes that have since gone.
+// Rank returns this node's rank among the collectors, starting at 0; ok is false if it is not a collector. The
+// collector with rank 0 should hold the lease, because it has collected for the longest time, including from nodes that
+// have left since.
 func (s *Service) Rank() (rank int, ok bool) {
 	rank = int(s.rank.Load())
 	return rank, rank >= 0
 }
 
-// SetMembers updates the members of the fleet.
+// SetMembers sets the members of the fleet, from which the collectors are chosen.
 func (s *Service) SetMembers(members []chivemember.Member) {
-	chosen := longestRunning(members, collectorCount)
-	s.rank.Store(int64(slices.Index(chosen, s.o.Mesh.Self())))
-	s.recorder.setTargets(chosen)
+	collectors := longestRunning(members, collectorCount)
+	s.rank.Store(int64(slices.Index(collectors, s.opts.Mesh.Self())))
+	s.recorder.setCollectors(collectors)
 	s.collector.setAlive(chivemember.AddressesByHash(members))
 }
 
-// longestRunning returns the addresses of the members that have been up longest. New nodes do not displace collectors, so collected starts remain
-// usable.
+// longestRunning returns the addresses of the members that have been up longest. With this choice new nodes never
+// replace collectors, whose collected starts would be lost.
 func longestRunning(members []chivemember.Member, limit int) []string {
 	var alive []chivemember.Member
 	for _, m := range members {
@@ -108,79 +111,80 @@
 	return addresses
 }
 
-// Start starts exchanging starts and reporting windows.
+// Start starts the exchange of messages and the reporter.
 func (s *Service) Start(ctx context.Context) error {
-	s.duties.Begin(ctx, s.exchange, s.report)
+	s.tasks.Begin(ctx, s.exchangeMessages, s.runReporter)
 	return nil
 }
 
-// Stop sends the remaining starts and stops the background work.
+// Stop sends the remaining starts and stops the background goroutines.
 func (s *Service) Stop(context.Context) error {
-	s.send()
-	s.duties.End()
+	s.sendStarts()
+	s.tasks.End()
 	return nil
 }
 
-// Dump returns whether this node is a collector, and its counts of windows.
+// Dump returns whether this node is a collector, and its numbers of windows by outcome.
 func (s *Service) Dump() any {
-	_, collects := s.Rank()
+	_, isCollector := s.Rank()
 	return struct {
 		Collects bool   `json:"collects"`
 		Windows  Counts `json:"windows"`
-	}{collects, s.Counts()}
+	}{isCollector, s.Counts()}
 }
 
-// Load returns the number of requests in progress in a pool on all nodes; ok is false if no node has been heard from recently.
+// Load returns the number of requests in progress in a pool over all nodes; ok is false if this node has not recently
+// heard from any node.
 func (s *Service) Load(pool string) (requests float64, ok bool) {
-	return s.collector.load(s.o.SinceBoot(), pool)
+	return s.collector.load(s.opts.SinceBoot(), pool)
 }
 
-// Counts returns the numbers of windows by outcome at this node.
+// Counts returns the numbers of windows by outcome at this node since its start.
 func (s *Service) Counts() Counts {
 	r := s.reporter
 	return Counts{Reported: r.reported.Load(), Omitted: r.omitted.Load(), Refused: r.refused.Load()}
 }
 
-// exchange sends starts to the collectors and handles incoming messages.
-func (s *Service) exchange(ctx context.Context) {
-	tick := time.NewTicker(sendEvery)
-	defer tick.Stop()
+// exchangeMessages sends starts to the collectors and handles incoming messages.
+func (s *Service) exchangeMessages(ctx context.Context) {
+	ticker := time.NewTicker(sendInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
-			s.send()
-			s.collector.prune(s.o.SinceBoot())
+		case <-ticker.C:
+			s.sendStarts()
+			s.collector.prune(s.opts.SinceBoot())
 		case m := <-s.inbox.Ready():
-			s.handle(m)
+			s.handleMessage(m)
 		}
 	}
 }
 
-// send sends the messages that are due. Send errors are ignored, since unacknowledged starts are resent.
-func (s *Service) send() {
-	now, wall := s.o.SinceBoot(), time.Duration(time.Now().UnixNano())
-	loads := s.o.Loads()
-	for address, m := range s.recorder.messages(now, wall) {
+// sendStarts sends the messages that are due. Send errors are ignored, because unacknowledged starts are resent.
+func (s *Service) sendStarts() {
+	now, wall := s.opts.SinceBoot(), time.Duration(time.Now().UnixNano())
+	loads := s.opts.Loads()
+	for address, m := range s.recorder.dueMessages(now, wall) {
 		m.Loads = loads
-		_ = s.o.Mesh.Send(address, chivewire.KindStarts, m)
+		_ = s.opts.Mesh.Send(address, chivewire.KindStarts, m)
 	}
 }
 
-func (s *Service) handle(m chivewire.Message) {
+func (s *Service) handleMessage(m chivewire.Message) {
 	switch body := m.Body.(type) {
 	case Starts:
-		ack := s.collector.receive(s.o.SinceBoot(), m.From, body)
+		ack := s.collector.receive(s.opts.SinceBoot(), m.From, body)
 		if len(body.AgesMs) > 0 || ack.Next != body.First {
-			_ = s.o.Mesh.Send(m.From, chivewire.KindStartsAck, ack)
+			_ = s.opts.Mesh.Send(m.From, chivewire.KindStartsAck, ack)
 		}
 	case StartsAck:
-		s.recorder.acknowledge(s.o.SinceBoot(), m.From, body)
+		s.recorder.acknowledge(s.opts.SinceBoot(), m.From, body)
 	}
 }
 
-// report settles and sends windows while this node holds the lease.
-func (s *Service) report(ctx context.Context) {
-	chivekernel.Every(ctx, reportEvery, func(time.Time) { s.reporter.round(ctx) })
+// runReporter settles and reports windows while this node holds the lease.
+func (s *Service) runReporter(ctx context.Context) {
+	chivekernel.Every(ctx, reportInterval, func(time.Time) { s.reporter.settleAndSend(ctx) })
 }
--- a/chiveusage/service_test.go
+++ b/chiveusage/service_test.go
@@ -28,23 +28,24 @@
 	tolerance = 0.05
 )
 
-// platform is a fake that rejects lower tokens and may lose calls or execute them late.
-type platform struct {
-	t       *testing.T
-	down    bool
-	late    bool
-	token   int64
-	reports map[int64]map[string]int64
-	at      map[int64]time.Time
+// fakePlatform accepts reports and rejects outdated fencing tokens. Calls time out while it is down; with executeLate
+// they time out and take effect three seconds after they were made.
+type fakePlatform struct {
+	t            *testing.T
+	down         bool
+	executeLate  bool
+	highestToken int64
+	reports      map[int64]map[string]int64
+	reportedAt   map[int64]time.Time
 }
 
-func (p *platform) ReportUsage(ctx context.Context, token int64, report chiveusage.Report) error {
+func (p *fakePlatform) ReportUsage(ctx context.Context, token int64, report chiveusage.Report) error {
 	time.Sleep(4 * time.Millisecond)
 	if p.down {
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	if p.late {
+	if p.executeLate {
 		time.AfterFunc(3*time.Second, func() { _ = p.accept(token, report) })
 		<-ctx.Done()
 		return ctx.Err()
@@ -52,16 +53,16 @@
 	return p.accept(token, report)
 }
 
-func (p *platform) accept(token int64, report chiveusage.Report) error {
-	if token < p.token {
+func (p *fakePlatform) accept(token int64, report chiveusage.Report) error {
+	if token < p.highestToken {
 		return chiveusage.ErrFenced
 	}
-	p.token = token
+	p.highestToken = token
 	if before, ok := p.reports[report.Window]; ok && !maps.Equal(before, report.Counts) {
 		p.t.Errorf("window %d was reported as %v and as %v", report.Window, before, report.Counts)
 	}
 	if _, ok := p.reports[report.Window]; !ok {
-		p.reports[report.Window], p.at[report.Window] = maps.Clone(report.Counts), time.Now()
+		p.reports[report.Window], p.reportedAt[report.Window] = maps.Clone(report.Counts), time.Now()
 	}
 	return nil
 }
@@ -75,24 +76,24 @@
 	up          bool
 }
 
-// fleet is a set of nodes and the requests that they have started.
+// fleet is a set of nodes with the requests that they have recorded.
 type fleet struct {
-	t        *testing.T
-	network  *chivestand.Network
-	topic    *chivestand.Topic
-	platform *platform
-	nodes    []*node
-	began    time.Time
-	random   *rand.Rand
-	// expected counts the started requests by window and team.
+	t         *testing.T
+	network   *chivestand.Network
+	topic     *chivestand.Topic
+	platform  *fakePlatform
+	nodes     []*node
+	startedAt time.Time
+	random    *rand.Rand
+	// expected counts the recorded requests by window and team.
 	expected map[int64]map[string]int64
 }
 
 func newFleet(t *testing.T, size int) *fleet {
 	t.Helper()
 	f := &fleet{
-		t: t, network: chivestand.NewNetwork(), topic: chivestand.NewTopic(1), began: time.Now(), random: rand.New(rand.NewPCG(1, 1)),
-		platform: &platform{t: t, reports: make(map[int64]map[string]int64), at: make(map[int64]time.Time)}, expected: make(map[int64]map[string]int64),
+		t: t, network: chivestand.NewNetwork(), topic: chivestand.NewTopic(1), startedAt: time.Now(), random: rand.New(rand.NewPCG(1, 1)),
+		platform: &fakePlatform{t: t, reports: make(map[int64]map[string]int64), reportedAt: make(map[int64]time.Time)}, expected: make(map[int64]map[string]int64),
 	}
 	for i := range size {
 		n := &node{address: fmt.Sprintf("10.%d.0.%d:1", i%3, i)}
@@ -106,7 +107,7 @@
 func (f *fleet) start(n *node) {
 	f.t.Helper()
 	n.incarnation, n.up = time.Now().UnixMilli(), true
-	sinceBoot := func() time.Duration { return time.Since(f.began) + time.Hour }
+	sinceBoot := func() time.Duration { return time.Since(f.startedAt) + time.Hour }
 	n.mesh = chivewire.NewMesh(n.address, f.network)
 	logger := slog.New(slog.DiscardHandler)
 	n.lease = chivelease.New(chivelease.Options{
@@ -124,7 +125,8 @@
 	}
 }
 
-// crash stops a node's network and store access before its services.
+// crash stops a node's network and store access before its services, so that it cannot send starts or release the
+// lease.
 func (f *fleet) crash(n *node) {
 	n.up = false
 	f.topic.SetNodeFaults(func(name string) chivestand.TopicFaults { return chivestand.TopicFaults{Down: name == n.address} })
@@ -156,9 +158,9 @@
 	}
 }
 
-// serveFor starts 200 requests a second on random nodes for a span of time.
-func (f *fleet) serveFor(span time.Duration) {
-	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+// recordRequests records 200 requests per second on random nodes; those that fall on a node that is down are dropped.
+func (f *fleet) recordRequests(duration time.Duration) {
+	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		n := f.nodes[f.random.IntN(len(f.nodes))]
 		if !n.up {
 			continue
@@ -183,13 +185,14 @@
 	return nil
 }
 
-// checkReports compares reports with the expected counts, for windows that began after two lease terms and whose deadline has passed.
-func (f *fleet) checkReports(omitted int) {
+// checkReports compares reports with the expected counts, for windows that began after two lease terms and whose
+// deadline has passed. At most maxMissing of these windows may have no report.
+func (f *fleet) checkReports(maxMissing int) {
 	f.t.Helper()
 	missing := 0
 	for w, counts := range f.expected {
 		end := time.Unix(0, (w+1)*int64(window))
-		if time.Unix(0, w*int64(window)).Before(f.began.Add(2*term)) || time.Since(end) < delay {
+		if time.Unix(0, w*int64(window)).Before(f.startedAt.Add(2*term)) || time.Since(end) < delay {
 			continue
 		}
 		got, ok := f.platform.reports[w]
@@ -197,20 +200,20 @@
 			missing++
 			continue
 		}
-		if took := f.platform.at[w].Sub(end); took > delay {
+		if took := f.platform.reportedAt[w].Sub(end); took > delay {
 			f.t.Errorf("window %d was reported after %v", w, took)
 		}
-		total, off := int64(0), int64(0)
+		total, deviation := int64(0), int64(0)
 		for team, n := range counts {
 			total += n
-			off += max(n-got[team], got[team]-n)
+			deviation += max(n-got[team], got[team]-n)
 		}
-		if float64(off) > tolerance*float64(total) {
-			f.t.Errorf("window %d is off by %d of %d requests", w, off, total)
+		if float64(deviation) > tolerance*float64(total) {
+			f.t.Errorf("window %d is off by %d of %d requests", w, deviation, total)
 		}
 	}
-	if missing > omitted {
-		f.t.Errorf("%d windows are missing, expected %d at most", missing, omitted)
+	if missing > maxMissing {
+		f.t.Errorf("%d windows are missing, expected %d at most", missing, maxMissing)
 	}
 }
 
@@ -220,36 +223,36 @@
 		f := newFleet(t, size)
 		defer f.stop()
 		scenario(f)
-		f.serveFor(delay + window)
+		f.recordRequests(delay + window)
 	})
 }
 
-// Guards against windows that are missing or wrong without any faults.
+// Guards against windows that are missing or have wrong counts when nothing fails.
 func TestEveryWindowIsReported(t *testing.T) {
 	runScenario(t, 9, func(f *fleet) {
-		f.serveFor(40 * time.Second)
+		f.recordRequests(40 * time.Second)
 		f.checkReports(0)
 	})
 }
 
-// Guards against windows that are lost or reported with two different counts when the reporter crashes.
-func TestReporterCrashes(t *testing.T) {
+// Guards against windows that are missing or are reported with two different counts after the reporting node crashes.
+func TestReporterCrashesLoseNoWindow(t *testing.T) {
 	runScenario(t, 9, func(f *fleet) {
-		f.serveFor(12 * time.Second)
+		f.recordRequests(12 * time.Second)
 		for range 3 {
 			f.crash(f.holder())
 			f.setMembers()
-			f.serveFor(12 * time.Second)
+			f.recordRequests(12 * time.Second)
 		}
-		f.serveFor(delay)
+		f.recordRequests(delay)
 		f.checkReports(0)
 	})
 }
 
-// Guards against counts that are lost when half of the fleet crashes at once and restarts.
-func TestHalfOfTheFleetCrashes(t *testing.T) {
+// Guards against counts that are lost when half of the fleet, but not the lease holder, crashes at once and restarts.
+func TestCrashOfHalfTheFleetLosesNoWindow(t *testing.T) {
 	runScenario(t, 20, func(f *fleet) {
-		f.serveFor(17 * time.Second)
+		f.recordRequests(17 * time.Second)
 		var crashed []*node
 		for _, n := range f.nodes {
 			if len(crashed) < 11 && n != f.holder() {
@@ -264,58 +267,59 @@
 			f.start(n)
 		}
 		f.setMembers()
-		f.serveFor(20 * time.Second)
+		f.recordRequests(20 * time.Second)
 		f.checkReports(0)
 	})
 }
 
-// Guards against two different counts for a window when the platform executes a call of a former reporter late.
-func TestCallsAreCarriedOutLate(t *testing.T) {
+// Guards against two different counts for a window when the platform executes a call of a former lease holder late.
+func TestLateCallsDoNotChangeReports(t *testing.T) {
 	runScenario(t, 9, func(f *fleet) {
-		f.serveFor(13 * time.Second)
-		f.platform.late = true
-		f.serveFor(4 * time.Second)
+		f.recordRequests(13 * time.Second)
+		f.platform.executeLate = true
+		f.recordRequests(4 * time.Second)
 		f.crash(f.holder())
 		f.setMembers()
-		f.serveFor(2 * time.Second)
-		f.platform.late = false
-		f.serveFor(25 * time.Second)
+		f.recordRequests(2 * time.Second)
+		f.platform.executeLate = false
+		f.recordRequests(25 * time.Second)
 		f.checkReports(0)
 	})
 }
 
-// Guards against two different counts for a window after the store was restored from a copy without the ledger; such windows are omitted.
-func TestStoreForgetsTheLedger(t *testing.T) {
+// Guards against two different counts for a window after the store was restored from a copy that lacks the newest
+// ledger; the windows that the ledger may have settled are omitted.
+func TestLostLedgerDoesNotChangeReports(t *testing.T) {
 	runScenario(t, 9, func(f *fleet) {
 		for range 4 {
-			f.serveFor(13 * time.Second)
+			f.recordRequests(13 * time.Second)
 			f.topic.Restore(12)
 		}
-		f.serveFor(25 * time.Second)
+		f.recordRequests(25 * time.Second)
 		f.checkReports(8)
 	})
 }
 
-// Guards against windows that are lost in a short outage of the platform or the store.
-func TestShortOutagesCostNoWindow(t *testing.T) {
+// Guards against windows that are missing after a short outage of the platform or the store.
+func TestShortOutagesLoseNoWindow(t *testing.T) {
 	runScenario(t, 9, func(f *fleet) {
-		f.serveFor(16 * time.Second)
+		f.recordRequests(16 * time.Second)
 		f.platform.down = true
-		f.serveFor(4 * time.Second)
+		f.recordRequests(4 * time.Second)
 		f.platform.down = false
-		f.serveFor(8 * time.Second)
+		f.recordRequests(8 * time.Second)
 		f.topic.SetFaults(chivestand.TopicFaults{Down: true, Silent: true})
-		f.serveFor(4 * time.Second)
+		f.recordRequests(4 * time.Second)
 		f.topic.SetFaults(chivestand.TopicFaults{})
-		f.serveFor(15 * time.Second)
+		f.recordRequests(15 * time.Second)
 		f.checkReports(0)
 	})
 }
 
-// Guards against new nodes that displace collectors, which would make the collected starts unusable.
+// Guards against new nodes that replace collectors, whose collected starts would be lost.
 func TestNewNodesDoNotBecomeCollectors(t *testing.T) {
 	runScenario(t, 6, func(f *fleet) {
-		collecting := func() (addresses []string) {
+		collectorAddresses := func() (addresses []string) {
 			for _, n := range f.nodes {
 				if _, ok := n.usage.Rank(); ok {
 					addresses = append(addresses, n.address)
@@ -323,13 +327,13 @@
 			}
 			return addresses
 		}
-		before := collecting()
+		before := collectorAddresses()
 		time.Sleep(time.Second)
-		late := &node{address: "10.0.0.0:0"}
-		f.nodes = append(f.nodes, late)
-		f.start(late)
+		added := &node{address: "10.0.0.0:0"}
+		f.nodes = append(f.nodes, added)
+		f.start(added)
 		f.setMembers()
-		if after := collecting(); len(after) != 3 || !slices.Equal(before, after) {
+		if after := collectorAddresses(); len(after) != 3 || !slices.Equal(before, after) {
 			f.t.Errorf("collectors were %v and are %v", before, after)
 		}
 	})
