--- a/chivelease/record.go
+++ b/chivelease/record.go
@@ -9,19 +9,21 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// leaseKey is the key of the lease record; all other keys of the topic hold values written under the lease.
+// leaseKey is the key of the lease record. All other keys of the topic hold values that holders have written.
 const leaseKey = "lease"
 
-// Record is a claim, a renewal or a release of the lease.
+// Record is the stored lease record: a claim, a renewal or a release.
 type Record struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the encoder
-	// Holder is the node's peer address, Incarnation identifies its process.
+	// Holder is the peer address of the node that wrote the record, Incarnation identifies its process.
 	Holder      string
 	Incarnation int64
-	// Token is the tenure's fencing token; 0 in the first record of a tenure, whose position determines the token.
+	// Token is the tenure's fencing token. It is 0 in the first record of a tenure, whose position determines the
+	// token.
 	Token    int64
 	Released bool
-	// Call numbers the holder's calls, since an unanswered call may still be executed after a later one was made.
+	// Call is the number of the holder's call. It tells calls apart, because an unanswered one may still be executed
+	// after a later one was made.
 	Call uint64
 }
 
@@ -42,36 +44,37 @@
 	return r, nil
 }
 
-// tokenAt returns the fencing token of the tenure whose first record is at a position; tokens start at 1.
+// tokenAt returns the fencing token of the tenure whose first record is at a position. Tokens start at 1.
 func tokenAt(at chivelog.Position) int64 { return int64(at) + 1 }
 
 // view is the state of the topic as this node last read it.
 type view struct {
 	record Record
-	// at is the record's position, firstRead when this node first read it there.
+	// at is the record's position, firstRead is when this node first read it there.
 	at        chivelog.Position
 	firstRead time.Duration
 	// end is the end of the topic.
 	end chivelog.Position
-	// values are the newest records of the other keys.
+	// values holds the newest values of the other keys.
 	values map[string][]byte
-	known  bool
-	// free means that nobody holds the lease.
+	// known means that the topic has been read, and since this node last released the lease.
+	known bool
+	// free means that no node holds the lease.
 	free bool
 }
 
-// isFreeAfter reports whether nobody holds the lease, given the previous view. A release counts only if it belongs to the tenure in the previous view,
-// since a release that is executed late may follow the record of a later holder.
-func (v *view) isFreeAfter(before *view) bool {
+// isFreeAfter reports whether no node holds the lease, given the previous view. A release counts only if it belongs to
+// the tenure in the previous view, because a release that is executed late may follow the record of a later holder.
+func (v *view) isFreeAfter(previous *view) bool {
 	switch {
 	case v.record.Holder == "":
 		return true
-	case !v.record.Released || !before.known:
+	case !v.record.Released || !previous.known:
 		return false
-	case v.at == before.at:
-		return before.free
+	case v.at == previous.at:
+		return previous.free
 	}
-	return v.record.Holder == before.record.Holder && v.record.Incarnation == before.record.Incarnation && v.token() == before.token()
+	return v.record.Holder == previous.record.Holder && v.record.Incarnation == previous.record.Incarnation && v.token() == previous.token()
 }
 
 // token returns the fencing token of the record's tenure.
--- a/chivelease/service_test.go
+++ b/chivelease/service_test.go
@@ -17,12 +17,12 @@
 	"chivedrift/chivestand"
 )
 
-// histories is the number of random histories in TestAtMostOneNodeActs.
-var histories = flag.Int("histories", 150, "random histories of the lease")
+// histories is the number of random fault sequences that TestAtMostOneNodeActs runs.
+var histories = flag.Int("histories", 150, "number of random fault sequences in TestAtMostOneNodeActs")
 
 const term = 3 * time.Second
 
-// node is a cluster node, which keeps its name across process restarts.
+// node is a node of the fleet; it keeps its name when its process restarts.
 type node struct {
 	name        string
 	lease       *chivelease.Service
@@ -32,21 +32,22 @@
 
 // fleet is a set of nodes that compete for one lease.
 type fleet struct {
-	t     *testing.T
-	topic *chivestand.Topic
-	nodes []*node
-	began time.Time
-	// holder maps each observed token to its process; newest is the highest token.
-	holder map[int64]string
-	newest int64
-	// lastActedAt maps each node's name to the last time at which it was seen able to act; lastHolder is the name of the last such node.
+	t         *testing.T
+	topic     *chivestand.Topic
+	nodes     []*node
+	startedAt time.Time
+	// processes holds the process that has used each observed token; highestToken is the highest of these tokens.
+	processes    map[int64]string
+	highestToken int64
+	// lastActedAt holds, by name, when each node was last seen able to act; lastHolder is the name of the last such
+	// node.
 	lastActedAt map[string]time.Time
 	lastHolder  string
 }
 
 func newFleet(t *testing.T, size int, seed uint64) *fleet {
 	t.Helper()
-	f := &fleet{t: t, topic: chivestand.NewTopic(seed), began: time.Now(), holder: make(map[int64]string), lastActedAt: make(map[string]time.Time)}
+	f := &fleet{t: t, topic: chivestand.NewTopic(seed), startedAt: time.Now(), processes: make(map[int64]string), lastActedAt: make(map[string]time.Time)}
 	for i := range size {
 		n := &node{name: fmt.Sprintf("10.0.0.%d:1", i), rank: i}
 		f.nodes = append(f.nodes, n)
@@ -60,14 +61,14 @@
 	n.incarnation++
 	n.lease = chivelease.New(chivelease.Options{
 		Topic: f.topic.For(n.name), Self: n.name, Incarnation: n.incarnation, Term: term, Rank: func() (int, bool) { return n.rank, true },
-		SinceBoot: func() time.Duration { return time.Since(f.began) }, Logger: slog.New(slog.DiscardHandler),
+		SinceBoot: func() time.Duration { return time.Since(f.startedAt) }, Logger: slog.New(slog.DiscardHandler),
 	})
 	if err := n.lease.Start(context.Background()); err != nil {
 		f.t.Fatal(err)
 	}
 }
 
-// crash stops a node without a release.
+// crash stops a node without a release of the lease.
 func (f *fleet) crash(n *node) {
 	f.topic.SetNodeFaults(func(name string) chivestand.TopicFaults { return chivestand.TopicFaults{Down: name == n.name} })
 	n.lease.Stop(context.Background())
@@ -80,7 +81,9 @@
 	}
 }
 
-// check verifies that at most one node may act, under a token that no other process has used and that never decreases. It returns that node.
+// check verifies that at most one node may act, and that its token has been used by no other process and is not lower
+// than earlier ones. It also verifies that a node which acts again after a tenure of another node has waited one term.
+// It returns the node that may act, if any.
 func (f *fleet) check() *node {
 	f.t.Helper()
 	var acting *node
@@ -90,17 +93,17 @@
 			continue
 		}
 		if acting != nil {
-			f.t.Errorf("%v after the start both %s and %s may act", time.Since(f.began), acting.name, n.name)
+			f.t.Errorf("%v after the start both %s and %s may act", time.Since(f.startedAt), acting.name, n.name)
 		}
 		acting = n
 		process := fmt.Sprintf("%s/%d", n.name, n.incarnation)
-		if before := f.holder[tenure.Token]; before != "" && before != process {
+		if before := f.processes[tenure.Token]; before != "" && before != process {
 			f.t.Errorf("token %d belongs to %s and to %s", tenure.Token, before, process)
 		}
-		if tenure.Token < f.newest {
-			f.t.Errorf("%s acts under token %d after %d was used", process, tenure.Token, f.newest)
+		if tenure.Token < f.highestToken {
+			f.t.Errorf("%s acts under token %d after %d was used", process, tenure.Token, f.highestToken)
 		}
-		f.holder[tenure.Token], f.newest = process, tenure.Token
+		f.processes[tenure.Token], f.highestToken = process, tenure.Token
 	}
 	if acting == nil {
 		return nil
@@ -112,28 +115,28 @@
 	return acting
 }
 
-// run calls check repeatedly for a span of time.
-func (f *fleet) run(span time.Duration) {
+// checkFor calls check repeatedly for a duration.
+func (f *fleet) checkFor(duration time.Duration) {
 	f.t.Helper()
-	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(25 * time.Millisecond) {
+	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(25 * time.Millisecond) {
 		f.check()
 	}
 }
 
-// awaitHolder waits until a node different from other may act.
-func (f *fleet) awaitHolder(within time.Duration, other *node) *node {
+// awaitHolder waits until a node other than the given one may act.
+func (f *fleet) awaitHolder(timeout time.Duration, other *node) *node {
 	f.t.Helper()
-	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(25 * time.Millisecond) {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(25 * time.Millisecond) {
 		if n := f.check(); n != nil && n != other {
 			return n
 		}
 	}
-	f.t.Fatalf("nobody else held the lease within %v", within)
+	f.t.Fatalf("nobody else held the lease within %v", timeout)
 	return nil
 }
 
-// Guards against a lease that is never taken over from a crashed holder.
-func TestCrashedHolderIsFollowed(t *testing.T) {
+// Guards against a lease that no node takes over from a crashed holder.
+func TestCrashedHolderIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3, 1)
 		defer f.stop()
@@ -144,18 +147,18 @@
 }
 
 // Guards against a planned stop after which the lease stays taken until its term expires.
-func TestPlannedStopHandsOver(t *testing.T) {
+func TestReleaseHandsOverBeforeTheTermExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3, 1)
 		defer f.stop()
 		holder := f.awaitHolder(term+time.Second, nil)
-		f.run(time.Second)
+		f.checkFor(time.Second)
 		holder.lease.Release(context.Background())
 		f.awaitHolder(2500*time.Millisecond, holder)
 	})
 }
 
-// Guards against a holder that keeps acting after it has lost access to the store.
+// Guards against a holder that loses access to the store and still acts when another node takes over.
 func TestHolderStopsBeforeItsTermWhenItCannotRenew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3, 1)
@@ -165,11 +168,12 @@
 			return chivestand.TopicFaults{Down: name == holder.name, Silent: true}
 		})
 		f.awaitHolder(2*term, holder)
-		f.run(2 * term)
+		f.checkFor(2 * term)
 	})
 }
 
-// Guards against a former holder that reclaims the lease within a term, when its delayed calls could be executed after those of its successor.
+// Guards against a former holder that claims the lease again within one term, when its delayed calls could still be
+// executed after those of its successor.
 func TestFormerHolderWaitsATerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 2, 1)
@@ -187,7 +191,8 @@
 	})
 }
 
-// Guards against a former holder whose term expired and that reclaims the lease within a term, after a short tenure of another node.
+// Guards against a former holder that claims the lease again within one term of its expired tenure, because its
+// successor has released the lease after a short tenure.
 func TestFormerHolderWaitsATermAfterAShortTenure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 2, 1)
@@ -196,17 +201,18 @@
 		for _, n := range f.nodes {
 			n.rank = 0
 		}
-		// The former holder regains access to the store while its successor holds the lease, which is released soon after.
+		// The former holder regains access to the store while its successor holds the lease, which is released soon
+		// after.
 		f.topic.SetNodeFaults(func(name string) chivestand.TopicFaults { return chivestand.TopicFaults{Down: name == holder.name} })
 		next := f.awaitHolder(term+4*time.Second, holder)
 		f.topic.SetNodeFaults(nil)
-		f.run(400 * time.Millisecond)
+		f.checkFor(400 * time.Millisecond)
 		next.lease.Release(context.Background())
-		f.run(2 * term)
+		f.checkFor(2 * term)
 	})
 }
 
-// Guards against writes by a former holder after another node has taken over.
+// Guards against writes of a former holder that take effect after another node has taken over.
 func TestOnlyTheHolderWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3, 1)
@@ -227,7 +233,8 @@
 	})
 }
 
-// Guards against two nodes that act at once and tokens that repeat or decrease, under random outages, lost and late calls, restores, crashes and stops.
+// Guards against two nodes that act at once, and tokens that repeat or decrease, under random outages, lost and late
+// calls, restores of the store, crashes and stops.
 func TestAtMostOneNodeActs(t *testing.T) {
 	for seed := range uint64(*histories) {
 		synctest.Test(t, func(t *testing.T) {
@@ -236,7 +243,7 @@
 			random := rand.New(rand.NewPCG(seed, 2))
 			for range 25 {
 				f.injectFault(random)
-				f.run(time.Duration(random.Int64N(int64(2 * time.Second))))
+				f.checkFor(time.Duration(random.Int64N(int64(2 * time.Second))))
 			}
 			f.topic.SetFaults(chivestand.TopicFaults{})
 			f.topic.SetNodeFaults(nil)
@@ -251,7 +258,7 @@
 	}
 }
 
-// injectFault applies a random fault, restart, write or refusal to the store or a node.
+// injectFault applies a random fault to the store, or restarts, crashes or fences a random node or lets it write.
 func (f *fleet) injectFault(random *rand.Rand) {
 	n := f.nodes[random.IntN(len(f.nodes))]
 	switch random.IntN(9) {
--- a/chiveusage/reporter.go
+++ b/chiveusage/reporter.go
@@ -36,7 +36,7 @@
 	Value(key string) []byte
 	// Write stores a value for this node and later holders.
 	Write(ctx context.Context, token int64, key string, value []byte) error
-	// Fenced ends the tenure with the given token because a higher one is in use.
+	// Fenced ends the tenure with the given fencing token, because a higher one is in use.
 	Fenced(token int64)
 }
 
