--- a/chiveorder/lease.go
+++ b/chiveorder/lease.go
@@ -7,27 +7,29 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Stream is the name of the log's stream of leases.
+// Stream is the name of the log stream that holds the lease records.
 const Stream = "chivedrift-leases"
 
 const (
-	// Term is how long a lease lasts after its record.
+	// Term is how long a lease is valid after its last record.
 	Term = 10 * time.Second
-	// OrderTimeout is how long an endpoint may take over an order.
+	// OrderTimeout is how long an endpoint may take to carry out an order.
 	OrderTimeout = 2 * time.Second
 
-	margin     = time.Second
-	renewAfter = Term / 3
+	// safetyMargin is added to OrderTimeout: no order is sent within the sum before a lease ends, nor, to endpoints
+	// that do not check fencing tokens, within the sum after it began.
+	safetyMargin  = time.Second
+	renewInterval = Term / 3
 )
 
-// Record asks for a lease, renews it or gives it back.
+// Record requests, renews or releases a lease. Group is the name of the pool that the lease is for.
 type Record struct {
 	Group    string
 	Holder   string
 	Released bool
 }
 
-// Encode lays a record out for the log.
+// Encode encodes a record for the log.
 func (r Record) Encode() ([]byte, error) {
 	data, err := msgpack.Marshal(r)
 	if err != nil {
@@ -36,7 +38,9 @@
 	return data, nil
 }
 
-// Lease is who may order a group, since when by the log's clock, and under which fencing number.
+// Lease allows its holder to send orders to the endpoints of a group. Began is the time at which the holder acquired
+// it, Since that of the last renewal, both by the clock of the log. Fencing is the fencing token, the log offset of the
+// last record.
 type Lease struct {
 	Holder  string    `json:"holder"`
 	Since   time.Time `json:"since"`
@@ -44,36 +48,39 @@
 	Began   time.Time `json:"began"`
 }
 
-// Leases applies lease records in log order by one rule, with the log's own times, so that all readers agree.
+// Leases holds the current leases. It applies lease records in log order and uses only the times of the log, so that
+// all readers of the log agree on the leases.
 type Leases struct {
 	byGroup map[string]Lease
 }
 
-// NewLeases returns leases before the first record.
+// NewLeases returns the leases before the first record: none.
 func NewLeases() *Leases {
 	return &Leases{byGroup: make(map[string]Lease)}
 }
 
-// Apply takes the next record: it takes effect when the group is free, the holder renews, or the last term has run out.
+// Apply applies the next record, which was appended at the given time. A request takes effect if the group has no
+// lease, the lease is the sender's own, or its term has expired; a release takes effect if the lease is the sender's
+// own. A record that cannot be decoded has no effect.
 func (l *Leases) Apply(offset int64, at time.Time, data []byte) {
 	var r Record
 	if err := msgpack.Unmarshal(data, &r); err != nil {
 		return
 	}
 	current, held := l.byGroup[r.Group]
-	mine := held && current.Holder == r.Holder
+	isHolder := held && current.Holder == r.Holder
 	switch {
-	case r.Released && mine:
+	case r.Released && isHolder:
 		delete(l.byGroup, r.Group)
 	case r.Released:
-	case mine && at.Sub(current.Since) <= Term:
+	case isHolder && at.Sub(current.Since) <= Term:
 		l.byGroup[r.Group] = Lease{Holder: r.Holder, Since: at, Fencing: offset, Began: current.Began}
 	case !held || at.Sub(current.Since) > Term:
 		l.byGroup[r.Group] = Lease{Holder: r.Holder, Since: at, Fencing: offset, Began: at}
 	}
 }
 
-// Of returns a group's lease.
+// Of returns the lease of a group, which may have expired; the second result is false if there is none.
 func (l *Leases) Of(group string) (Lease, bool) {
 	lease, ok := l.byGroup[group]
 	return lease, ok
--- a/chiveorder/lease_test.go
+++ b/chiveorder/lease_test.go
@@ -7,16 +7,17 @@
 	"chivedrift/chiveorder"
 )
 
-// Guards against two holders of one lease.
+// Guards against a lease that a second node acquires before the holder's term has expired or the holder has released
+// it.
 func TestLeaseIsTakenOnlyAfterTheLastTerm(t *testing.T) {
 	leases := chiveorder.NewLeases()
 	start := time.Unix(1000, 0)
 	steps := []struct {
-		holder   string
-		after    time.Duration
-		released bool
-		want     string
-		fencing  int64
+		holder     string
+		after      time.Duration
+		released   bool
+		wantHolder string
+		wantToken  int64
 	}{
 		{"a", 0, false, "a", 0},
 		{"b", chiveorder.Term / 2, false, "a", 0},
@@ -35,8 +36,8 @@
 		}
 		leases.Apply(int64(offset), start.Add(s.after), data)
 		lease, _ := leases.Of("g")
-		if lease.Holder != s.want || lease.Fencing != s.fencing {
-			t.Errorf("after step %d: held by %q under %d, expected %q under %d", offset, lease.Holder, lease.Fencing, s.want, s.fencing)
+		if lease.Holder != s.wantHolder || lease.Fencing != s.wantToken {
+			t.Errorf("after step %d: held by %q under %d, expected %q under %d", offset, lease.Holder, lease.Fencing, s.wantHolder, s.wantToken)
 		}
 	}
 	leases.Apply(99, start, []byte("no record"))
--- a/chiveorder/sender.go
+++ b/chiveorder/sender.go
@@ -13,25 +13,27 @@
 	"chivedrift/chivewire"
 )
 
-// ErrLeaseOver means that an order was not sent because its lease had too little time left.
-var ErrLeaseOver = errors.New("order not sent: too little of the lease is left")
+// ErrLeaseOver means that an order was not sent because too little time was left on its lease.
+var ErrLeaseOver = errors.New("order not sent: remaining lease time too short")
 
-// ErrOldFencing means that the endpoint has seen a higher fencing number.
-var ErrOldFencing = errors.New("order refused: old fencing number")
+// ErrOldFencing means that the endpoint refused an order because it has seen a higher fencing token.
+var ErrOldFencing = errors.New("order refused: stale fencing token")
 
-// Order asks an endpoint to do something under a fencing number.
+// Order is a command to an endpoint, such as to load a version. Verb is what to do, Target what to do it with, Fencing
+// the fencing token of the lease under which it is sent.
 type Order struct {
 	Verb    string `json:"verb"`
 	Target  string `json:"target"`
 	Fencing int64  `json:"fencing"`
 }
 
-// Send carries an order out while the lease lasts; lastStart is the latest moment, by this node's own clock, at which it may start.
+// Send sends an order to an endpoint, unless latestSend has passed by this node's clock; the error then wraps
+// ErrLeaseOver.
 //
-// Some endpoints ignore fencing numbers. For those nothing but time keeps a holder that was paused unaware from sending
-// an order after its successor: the check stands in the connection's Write, right before the bytes leave, and the
-// connection is a fresh one, so that no earlier check can be outlived by a pause.
-func Send(ctx context.Context, network chivewire.Network, self, address string, order Order, lastStart time.Time) error {
+// Some endpoints do not check fencing tokens. For them, only time prevents a holder whose process was paused from
+// sending an order after its successor. The time is therefore checked in the connection's Write, right before the bytes
+// are sent, and each order has a connection of its own, so that a pause after an earlier check does no harm.
+func Send(ctx context.Context, network chivewire.Network, self, address string, order Order, latestSend time.Time) error {
 	ctx, cancel := context.WithTimeout(ctx, OrderTimeout)
 	defer cancel()
 	dial := chivewire.Dialer(network, self)
@@ -42,7 +44,7 @@
 			if err != nil {
 				return nil, fmt.Errorf("order: %w", err)
 			}
-			return &leasedConn{Conn: conn, lastStart: lastStart}, nil
+			return &leasedConn{Conn: conn, latestSend: latestSend}, nil
 		},
 	}
 	body, err := json.Marshal(order)
@@ -68,27 +70,27 @@
 	return fmt.Errorf("order: endpoint answered %s", response.Status)
 }
 
-// leasedConn refuses to write once the lease has too little time left.
+// leasedConn refuses to write after latestSend.
 type leasedConn struct {
 	net.Conn
-	lastStart time.Time
+	latestSend time.Time
 }
 
-// Write sends bytes while the lease allows.
+// Write writes data, or returns ErrLeaseOver after latestSend.
 func (c *leasedConn) Write(data []byte) (int, error) {
-	if time.Now().After(c.lastStart) {
+	if time.Now().After(c.latestSend) {
 		return 0, ErrLeaseOver
 	}
 	return c.Conn.Write(data) //nolint:wrapcheck // net/http wraps it
 }
 
-// endpointState is what an endpoint says it has done.
+// endpointState is the response of an endpoint that lists the orders it has carried out, oldest first.
 type endpointState struct {
 	Done []Order `json:"done"`
 }
 
-// readState asks an endpoint which orders it carried out.
-func readState(ctx context.Context, network chivewire.Network, self, address string) ([]Order, error) {
+// readCompletedOrders returns the orders that an endpoint has carried out, oldest first.
+func readCompletedOrders(ctx context.Context, network chivewire.Network, self, address string) ([]Order, error) {
 	ctx, cancel := context.WithTimeout(ctx, OrderTimeout)
 	defer cancel()
 	transport := &http.Transport{DisableKeepAlives: true, DialContext: chivewire.Dialer(network, self)}
