--- a/chiveresidency/doc.go
+++ b/chiveresidency/doc.go
@@ -1,2 +1,3 @@
-// Package chiveresidency decides in which regions, and so in which failure domains, a request may be served.
+// Package chiveresidency implements data residency: it determines in which regions, and therefore in which failure
+// domains, a request may be served.
 package chiveresidency
--- a/chiveresidency/policy_test.go
+++ b/chiveresidency/policy_test.go
@@ -8,11 +8,11 @@
 	"chivedrift/chiveresidency"
 )
 
-func TestBothPoliciesHold(t *testing.T) {
+func TestIntersectionAllowsCommonRegions(t *testing.T) {
 	cases := map[string]struct {
-		a, b  []string
-		allow string
-		none  bool
+		a, b        []string
+		wantAllowed string
+		wantNone    bool
 	}{
 		"no limit":        {nil, nil, "x,y,z", false},
 		"one limit":       {[]string{"x", "y"}, nil, "x,y", false},
@@ -29,27 +29,27 @@
 				allowed = append(allowed, r)
 			}
 		}
-		if got := strings.Join(allowed, ","); got != c.allow || p.AllowsNone() != c.none {
-			t.Errorf("%s: allows %q, none %v; want %q, %v", name, got, p.AllowsNone(), c.allow, c.none)
+		if got := strings.Join(allowed, ","); got != c.wantAllowed || p.AllowsNone() != c.wantNone {
+			t.Errorf("%s: allows %q, none %v; want %q, %v", name, got, p.AllowsNone(), c.wantAllowed, c.wantNone)
 		}
 	}
 }
 
-func TestUnknownRegionIsNamed(t *testing.T) {
+func TestCheckNamesUnknownRegion(t *testing.T) {
 	err := chiveresidency.Within([]string{"x", "mars"}).Check([]string{"x", "y"})
 	if err == nil || err.Error() != `unknown region "mars"; expected one of x, y` {
 		t.Errorf("got %v", err)
 	}
 }
 
-// Guards against a limited request that is served in a failure domain whose region is not known.
-func TestDomainsOfUnknownRegionAreLeftOut(t *testing.T) {
+// Guards against a request with a limited policy that is served in a failure domain whose region is unknown.
+func TestLimitedPolicyExcludesDomainsOfUnknownRegion(t *testing.T) {
 	regions := chiveresidency.Map{"z1": "x", "z2": "x", "z3": "y"}
 	domains := regions.Domains(chiveresidency.Within([]string{"x"}))
 	if !slices.Equal(domains.Names(), []string{"z1", "z2"}) || domains.Contains("z3") || domains.Contains("unlisted") {
 		t.Errorf("got %v", domains.Names())
 	}
-	if every := regions.Domains(chiveresidency.Policy{}); every.IsLimited() || !every.Contains("unlisted") {
-		t.Error("a policy without a limit allows every failure domain")
+	if unlimited := regions.Domains(chiveresidency.Policy{}); unlimited.IsLimited() || !unlimited.Contains("unlisted") {
+		t.Error("a policy without a limit does not allow every failure domain")
 	}
 }
