--- a/chivescale/plan.go
+++ b/chivescale/plan.go
@@ -36,7 +36,7 @@
 // Total returns the number of replicas of both kinds.
 func (d Domain) Total() int { return d.OnDemand + d.Preemptible }
 
-// Order sets the number of replicas of one kind in a failure domain.
+// Order sets the number of a pool's replicas of one kind, on-demand or preemptible, in a failure domain.
 type Order struct {
 	Pool        string
 	Domain      string
--- a/chivescale/service.go
+++ b/chivescale/service.go
@@ -83,7 +83,7 @@
 	preemptible bool
 }
 
-// lastOrder is the last order for an orderKey, or before the first one, the number of replicas when planning began.
+// lastOrder is the last order for an orderKey or, before the first one, the number of replicas when planning began.
 type lastOrder struct {
 	count int
 	at    time.Duration
--- a/chiveusage/recorder.go
+++ b/chiveusage/recorder.go
@@ -6,7 +6,6 @@
 )
 
 const (
-	// maxStartsPerMessage is the maximum number of starts in a message.
 	maxStartsPerMessage = 500
 	// ackTimeout is how long a collector may take to acknowledge new starts before they are resent.
 	ackTimeout = time.Second
