--- a/chivegossip/answers.go
+++ b/chivegossip/answers.go
@@ -6,16 +6,17 @@
 	"chivedrift/chivewire"
 )
 
-// A node that lost the store asks the readers whether the store answered them meanwhile: if it did, only this node was cut off,
-// and entries that are missing now have not merely lapsed.
+// A node that could not reach the store asks the readers whether the store answered them in the meantime. If it did,
+// only this node was cut off, so entries that are missing now did not merely expire during an outage of the store.
 
-// answersWithin is the longest time there and back after which an answer still counts: a question or an answer that was held up
-// in a cut connection would tell of another time than it seems to. Between failure domains of a region it is a few milliseconds.
-const answersWithin = 300 * time.Millisecond
+// maxRoundTrip is the longest round trip after which an answer still counts: a request or answer that was held up in a
+// broken connection would refer to another time than it seems to. Between failure domains of a region a round trip
+// takes a few milliseconds.
+const maxRoundTrip = 300 * time.Millisecond
 
 // AnswersAsk asks a peer when the store answered it.
 type AnswersAsk struct {
-	// Asked is the time since the sender's start, which the answer brings back; unlike the time of day it never jumps.
+	// Asked is the time since the sender's start, which the answer returns; unlike the time of day it never jumps.
 	Asked  time.Duration
 	Within time.Duration
 }
@@ -26,45 +27,45 @@
 	Ages  []time.Duration
 }
 
-// WentStale hears that it matters from now on whether the store answered the peers.
+// WentStale has the service ask the readers at once whether the store answers them.
 func (s *Service) WentStale() {
 	select {
-	case s.stale <- struct{}{}:
+	case s.queryNow <- struct{}{}:
 	default:
-		// The peers are about to be asked anyway.
+		// A query is pending already.
 	}
 }
 
-// askAnswers asks the readers while this node may be stale.
-func (s *Service) askAnswers() {
-	within := s.o.Endpoints.Staleness()
-	if within == 0 {
+// queryReaders asks the readers when the store answered them, if this node needs to know.
+func (s *Service) queryReaders() {
+	maxAge := s.options.Endpoints.Staleness()
+	if maxAge == 0 {
 		return
 	}
-	for _, address := range s.fleet.sources(s.o.Mesh.Self()) {
-		s.send(address, chivewire.KindAnswersAsk, AnswersAsk{Asked: time.Since(s.began), Within: within})
+	for _, address := range s.topology.otherReaders(s.options.Mesh.Self()) {
+		s.send(address, chivewire.KindAnswersAsk, AnswersAsk{Asked: time.Since(s.startedAt), Within: maxAge})
 	}
 }
 
-// hearAnswers takes a peer's answer. The moment at which it was given is taken for the middle of the way there and back.
-func (s *Service) hearAnswers(answer Answers) {
-	asked := s.began.Add(answer.Asked)
-	took := time.Since(asked)
-	if took < 0 || took > answersWithin {
+// receiveAnswers takes the answer of a reader, which is assumed to be given in the middle of the round trip.
+func (s *Service) receiveAnswers(answer Answers) {
+	sentAt := s.startedAt.Add(answer.Asked)
+	roundTrip := time.Since(sentAt)
+	if roundTrip < 0 || roundTrip > maxRoundTrip {
 		return
 	}
-	s.o.Endpoints.HearAnswers(asked.Add(took/2), answer.Ages)
+	s.options.Endpoints.HearAnswers(sentAt.Add(roundTrip/2), answer.Ages)
 }
 
-// sources returns the nodes that read the store, without this one.
-func (f *fleet) sources(self string) []string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	sources := make([]string, 0, len(f.reading))
-	for _, address := range f.reading {
+// otherReaders returns the readers without this node.
+func (t *topology) otherReaders(self string) []string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	others := make([]string, 0, len(t.readers))
+	for _, address := range t.readers {
 		if address != self {
-			sources = append(sources, address)
+			others = append(others, address)
 		}
 	}
-	return sources
+	return others
 }
--- a/chivegossip/doc.go
+++ b/chivegossip/doc.go
@@ -1,3 +1,6 @@
-// Package chivegossip passes the newest routing table, and what is known of the endpoints, from node to node: a node that the
-// platform's store turns away still learns within a second or two what has changed.
+// Package chivegossip spreads the newest routing table and the changes of endpoints between nodes, so that a node that
+// cannot read the platform's store still learns of a change within one or two seconds.
+//
+// A few nodes, the readers, read the store and publish what is new along a tree of all nodes. In addition, each node
+// regularly exchanges digests with a few peers, and requests what it lacks.
 package chivegossip
--- a/chivegossip/documents.go
+++ b/chivegossip/documents.go
@@ -10,38 +10,39 @@
 	"chivedrift/chivewire"
 )
 
-// A document goes from peer to peer in parts that the one who lacks it asks for (package chivetransfer): nodes only show each other their
-// version. With whole documents sent to all who showed an older one, the eight readers of 78 nodes on links of 10 Mbit/s each sent 25 copies of
-// 300 KB at once; most nodes had the change 4.1 s after they had heard of it, and heartbeats were lost behind the copies.
+// A document is transferred between peers in parts that the receiver requests (package chivetransfer); without a
+// request, nodes only send their version. When nodes sent whole documents to every peer that showed an older version,
+// the eight readers of 78 nodes on links of 10 Mbit/s each sent 25 copies of 300 KB at once; most nodes had the change
+// 4.1 s after they had heard of it, and heartbeats queued behind the copies were lost.
 
-// lost is the message that a connection to a peer broke.
-type lost struct{}
+// connectionLost is put into the inbox when the connection to a peer is lost.
+type connectionLost struct{}
 
-// hearVersion takes a peer's version.
-func (s *Service) hearVersion(from string, version int64) {
-	s.o.Tables.Hear(version, "peer "+from)
+// recordVersion records which version a peer has.
+func (s *Service) recordVersion(from string, version int64) {
+	s.options.Tables.Hear(version, "peer "+from)
 	s.receiver.Hear(from, version)
 	s.sender.Hear(from, version)
 }
 
-// fetch asks for what is to be asked now, and sets the time of the next look.
-func (s *Service) fetch() {
+// requestDocumentPart requests a part of a newer document if one is due, and sets the timer for the next attempt.
+func (s *Service) requestDocumentPart() {
 	now := time.Now()
-	if peer, ask, ok := s.receiver.Next(now, s.o.Tables.Version()); ok {
-		s.send(peer, chivewire.KindDocumentAsk, ask)
+	if peer, request, ok := s.receiver.Next(now, s.options.Tables.Version()); ok {
+		s.send(peer, chivewire.KindDocumentAsk, request)
 	}
-	at, ok := s.receiver.Wake(now)
+	next, ok := s.receiver.Wake(now)
 	if !ok {
-		s.wake.Stop()
+		s.fetchTimer.Stop()
 		return
 	}
-	s.wake.Reset(time.Until(at))
+	s.fetchTimer.Reset(time.Until(next))
 }
 
-// hand answers a peer that asks for a part.
-func (s *Service) hand(from string, ask chivetransfer.Ask) {
-	s.prepare()
-	part, refusal := s.sender.Answer(time.Now(), from, ask)
+// serveDocumentPart answers a peer that requests a part.
+func (s *Service) serveDocumentPart(from string, request chivetransfer.Ask) {
+	s.compressDocument()
+	part, refusal := s.sender.Answer(time.Now(), from, request)
 	if refusal != nil {
 		s.send(from, chivewire.KindDocumentRefusal, refusal)
 		return
@@ -49,38 +50,38 @@
 	s.send(from, chivewire.KindDocumentPart, part)
 }
 
-// prepare compresses the document in force, when somebody asks for the first time since it is.
-func (s *Service) prepare() {
-	if s.sender.Version() >= s.o.Tables.Version() {
+// compressDocument compresses the document in force, on the first request since it came into force.
+func (s *Service) compressDocument() {
+	if s.sender.Version() >= s.options.Tables.Version() {
 		return
 	}
-	document, version := s.o.Tables.Document()
-	e, err := chivetransfer.Compress(version, document)
+	document, version := s.options.Tables.Document()
+	edition, err := chivetransfer.Compress(version, document)
 	if err != nil {
-		chiveevent.TableNotPassed.Log(context.Background(), s.o.Logger, slog.Int64("version", version), slog.String("error", err.Error()))
+		chiveevent.TableNotPassed.Log(context.Background(), s.options.Logger, slog.Int64("version", version), slog.String("error", err.Error()))
 		return
 	}
-	s.sender.Add(e)
+	s.sender.Add(edition)
 }
 
-// take takes a part, and puts the document in force when it is whole.
-func (s *Service) take(from string, part chivetransfer.Part) {
-	e, whole := s.receiver.Take(from, part)
-	if !whole {
+// receiveDocumentPart stores a part, and puts the document in force once it is complete.
+func (s *Service) receiveDocumentPart(from string, part chivetransfer.Part) {
+	edition, complete := s.receiver.Take(from, part)
+	if !complete {
 		return
 	}
-	document, err := e.Document()
+	document, err := edition.Document()
 	if err != nil {
-		chiveevent.TableRejected.Log(context.Background(), s.o.Logger, slog.String("source", "peer "+from), slog.String("error", err.Error()))
-		s.receiver.Useless(e.Version())
+		chiveevent.TableRejected.Log(context.Background(), s.options.Logger, slog.String("source", "peer "+from), slog.String("error", err.Error()))
+		s.receiver.Useless(edition.Version())
 		return
 	}
-	s.o.Tables.Learn(document, "peer "+from)
-	if s.o.Tables.Version() < e.Version() {
-		s.receiver.Useless(e.Version())
+	s.options.Tables.Learn(document, "peer "+from)
+	if s.options.Tables.Version() < edition.Version() {
+		s.receiver.Useless(edition.Version())
 		return
 	}
-	s.sender.Add(e)
-	// The sender may serve the next one, and send others here.
-	s.send(from, chivewire.KindDigestAnswer, s.digest())
+	s.sender.Add(edition)
+	// The sender may now serve the next peer, and refer others to this node.
+	s.send(from, chivewire.KindDigestAnswer, s.localDigest())
 }
--- a/chivegossip/earlier_test.go
+++ b/chivegossip/earlier_release_test.go
@@ -12,9 +12,9 @@
 	"chivedrift/chivewire"
 )
 
-// What a node of the release before sends and takes.
+// The messages of a node of the previous release.
 type (
-	earlierKnowledge struct {
+	earlierDigest struct {
 		Table, Offset int64
 		Reply         bool
 	}
@@ -40,41 +40,41 @@
 )
 
 // Guards against message fields that the previous release cannot decode during an upgrade.
-func TestNodesOfTwoReleasesTellEachOther(t *testing.T) {
+func TestNodesOfTwoReleasesExchangeChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, fleet := newFleet(t, 3, slowLink)
-		newer, older := newDocument(t, 5, 100, 1), newDocument(t, 7, 100, 1)
-		now := fleet[0]
-		now.tables.Learn(newer, "store")
-		now.endpoints.Learn(chivedirectory.Update{Changes: []chivedirectory.Change{{Position: 4, Endpoint: chivedirectory.Endpoint{ID: "e", Pool: "p", Address: "10.0.0.1:1", Born: 9}}}}, "store")
+		currentDocument, earlierNodeDocument := newDocument(t, 5, 100, 1), newDocument(t, 7, 100, 1)
+		current := fleet[0]
+		current.tables.Learn(currentDocument, "store")
+		current.endpoints.Learn(chivedirectory.Update{Changes: []chivedirectory.Change{{Position: 4, Endpoint: chivedirectory.Endpoint{ID: "e", Pool: "p", Address: "10.0.0.1:1", Born: 9}}}}, "store")
 
 		earlier := chivewire.NewMesh("10.9.0.1:82", network)
 		documents, changes := make(chan earlierDocument, 9), make(chan earlierChanges, 9)
 		chivewire.Receive(earlier, chivewire.KindDocument, func(_ string, d earlierDocument) { documents <- d })
-		chivewire.Receive(earlier, chivewire.KindEarlierChanges, func(_ string, w earlierChanges) { changes <- w })
+		chivewire.Receive(earlier, chivewire.KindEarlierChanges, func(_ string, c earlierChanges) { changes <- c })
 		if err := earlier.Start(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		defer earlier.Stop(t.Context())
-		say := func(kind chivewire.Kind, message any) {
-			if err := earlier.Send(now.mesh.Self(), kind, message); err != nil {
+		send := func(kind chivewire.Kind, message any) {
+			if err := earlier.Send(current.mesh.Self(), kind, message); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(time.Second)
 		}
 
-		say(chivewire.KindDigest, earlierKnowledge{Table: 3, Offset: 1, Reply: true})
+		send(chivewire.KindDigest, earlierDigest{Table: 3, Offset: 1, Reply: true})
 		if len(documents) != 1 || len(changes) != 1 {
-			t.Fatalf("%d documents and %d rows of changes came, want one each", len(documents), len(changes))
+			t.Fatalf("received %d documents and %d sets of changes, want one each", len(documents), len(changes))
 		}
-		if d := <-documents; d.Table != 5 || !bytes.Equal(d.Data, newer) {
+		if d := <-documents; d.Table != 5 || !bytes.Equal(d.Data, currentDocument) {
 			t.Errorf("got version %d with %d bytes", d.Table, len(d.Data))
 		}
-		if w := <-changes; len(w.Changes) != 1 || w.Changes[0].Offset != 4 || w.Changes[0].Endpoint.ID != "e" {
-			t.Errorf("got %+v", w)
+		if c := <-changes; len(c.Changes) != 1 || c.Changes[0].Offset != 4 || c.Changes[0].Endpoint.ID != "e" {
+			t.Errorf("got %+v", c)
 		}
-		say(chivewire.KindDocument, earlierDocument{Table: 7, Data: older})
-		if got := now.tables.Version(); got != 7 {
+		send(chivewire.KindDocument, earlierDocument{Table: 7, Data: earlierNodeDocument})
+		if got := current.tables.Version(); got != 7 {
 			t.Errorf("version %d in force, want the earlier node's 7", got)
 		}
 	})
--- a/chivegossip/packed.go
+++ b/chivegossip/packed.go
@@ -11,67 +11,69 @@
 	"chivedrift/chivewire"
 )
 
-// Changes of thousands of endpoints go compressed: each has the same pool, domain and form, and over a link of 20 Mbit/s ten thousand of them take
-// a third of a second as they stand, for each peer that asks. A node of an earlier release does not know the question and leaves it unanswered; the
-// next one is asked in the earlier form.
+// Many changes of endpoints are sent compressed: their pools, failure domains and structure repeat, and over a link of
+// 20 Mbit/s ten thousand of them take a third of a second uncompressed, for each peer that requests them. A node of an
+// earlier release does not know the request for compressed changes and leaves it unanswered; the next request then has
+// the earlier form.
 
 const (
-	// packFrom is the number of changes from which an answer is compressed; fewer are sent as they stand.
-	packFrom = 64
-	// packedFor is how long an answer is kept for other peers with the same question: the children of a node ask in the same moment.
-	packedFor = 500 * time.Millisecond
+	// minCompressedChanges is the number of changes from which an answer is compressed.
+	minCompressedChanges = 64
+	// responseCacheTTL is how long a compressed answer is kept for other peers with the same request: the children of a
+	// node send theirs at the same moment.
+	responseCacheTTL = 500 * time.Millisecond
 )
 
-// PackedAsk asks for the changes of endpoints after an offset, compressed where they are many.
+// PackedAsk requests the changes of endpoints after an offset, compressed if there are many.
 type PackedAsk struct {
 	After chivelog.Position
 }
 
-// PackedChanges are changes of endpoints, compressed.
+// PackedChanges holds compressed changes of endpoints.
 type PackedChanges struct {
 	Data []byte
 }
 
-// packed is the last compressed answer.
-type packed struct {
-	after  chivelog.Position
-	newest chivelog.Position
-	at     time.Time
-	answer PackedChanges
+// cachedResponse is the last compressed answer.
+type cachedResponse struct {
+	after     chivelog.Position
+	newest    chivelog.Position
+	createdAt time.Time
+	response  PackedChanges
 }
 
-// answers reports whether the answer is that to a question, as of what is known now.
-func (p *packed) answers(now time.Time, after, newest chivelog.Position) bool {
-	return p.answer.Data != nil && p.after == after && p.newest == newest && now.Sub(p.at) < packedFor
+// isValid reports whether the cached answer is still the right one to a request.
+func (r *cachedResponse) isValid(now time.Time, after, newest chivelog.Position) bool {
+	return r.response.Data != nil && r.after == after && r.newest == newest && now.Sub(r.createdAt) < responseCacheTTL
 }
 
-// answerPacked answers a peer that asks for changes.
-func (s *Service) answerPacked(from string, ask PackedAsk) {
-	now, newest := time.Now(), s.o.Endpoints.Newest()
-	if s.packed.answers(now, ask.After, newest) {
-		s.send(from, chivewire.KindPackedChanges, s.packed.answer)
+// sendChanges answers a peer's request for changes.
+func (s *Service) sendChanges(from string, request PackedAsk) {
+	now, newest := time.Now(), s.options.Endpoints.Newest()
+	if s.cached.isValid(now, request.After, newest) {
+		s.send(from, chivewire.KindPackedChanges, s.cached.response)
 		return
 	}
-	update := s.o.Endpoints.Update(ask.After)
-	if len(update.Changes) < packFrom {
+	update := s.options.Endpoints.Update(request.After)
+	if len(update.Changes) < minCompressedChanges {
 		s.send(from, chivewire.KindChangesAnswer, update)
 		return
 	}
 	data, err := chivewire.Pack(update)
 	if err != nil {
-		chiveevent.ChangesNotPassed.Log(context.Background(), s.o.Logger, slog.Int("changes", len(update.Changes)), slog.String("error", err.Error()))
+		chiveevent.ChangesNotPassed.Log(context.Background(), s.options.Logger, slog.Int("changes", len(update.Changes)), slog.String("error", err.Error()))
 		return
 	}
-	s.packed = packed{after: ask.After, newest: newest, at: now, answer: PackedChanges{Data: data}}
-	s.send(from, chivewire.KindPackedChanges, s.packed.answer)
+	s.cached = cachedResponse{after: request.After, newest: newest, createdAt: now, response: PackedChanges{Data: data}}
+	s.send(from, chivewire.KindPackedChanges, s.cached.response)
 }
 
-// takePacked takes a compressed answer.
-func (s *Service) takePacked(from string, changes PackedChanges) {
+// receiveCompressed applies compressed changes.
+func (s *Service) receiveCompressed(from string, changes PackedChanges) {
 	update, err := chivewire.Unpack[chivedirectory.Update](changes.Data)
 	if err != nil {
-		chiveevent.ChangesNotPassed.Log(context.Background(), s.o.Logger, slog.String("source", "peer "+from), slog.String("error", err.Error()))
+		chiveevent.ChangesNotPassed.Log(context.Background(), s.options.Logger, slog.String("source", "peer "+from), slog.String("error", err.Error()))
 		return
 	}
-	s.o.Endpoints.Learn(update, "peer "+from)
+	s.options.Endpoints.Learn(update, "peer "+from)
 }
--- a/chivegossip/packed_test.go
+++ b/chivegossip/packed_test.go
@@ -13,8 +13,8 @@
 	"chivedrift/chivewire"
 )
 
-// fleetChanges returns the registrations of so many engines.
-func fleetChanges(engines int) chivedirectory.Update {
+// randomChanges returns the registrations of a number of engines.
+func randomChanges(engines int) chivedirectory.Update {
 	random := rand.New(rand.NewPCG(1, 1))
 	changes := make([]chivedirectory.Change, engines)
 	for i := range changes {
@@ -26,11 +26,11 @@
 	return chivedirectory.Update{Changes: changes}
 }
 
-// Guards against a start of a large fleet in which each node receives megabytes about its endpoints.
-func TestManyChangesGoCompressed(t *testing.T) {
-	const engines, bytesAnEngine = 10_000, 40
+// Guards against megabytes of endpoint changes to each node when a large fleet starts.
+func TestManyChangesAreSentCompressed(t *testing.T) {
+	const engines, bytesPerEngine = 10_000, 40
 	nodes := newNodes(t, 2)
-	nodes[0].endpoints.Learn(fleetChanges(engines), "store")
+	nodes[0].endpoints.Learn(randomChanges(engines), "store")
 	nodes[0].service.Learnt()
 	eventually(t, "the peer knows all engines", func() bool { return nodes[1].endpoints.Newest() == engines })
 	_, received := nodes[1].mesh.Traffic()
@@ -38,19 +38,20 @@
 	for _, r := range received {
 		total += r.Bytes
 	}
-	t.Logf("%d bytes an engine", total/engines)
-	if total > bytesAnEngine*engines {
-		t.Errorf("%d bytes were received for %d engines, at most %d each expected", total, engines, bytesAnEngine)
+	t.Logf("%d bytes per engine", total/engines)
+	if total > bytesPerEngine*engines {
+		t.Errorf("received %d bytes for %d engines, want at most %d each", total, engines, bytesPerEngine)
 	}
 }
 
-// Guards against a node that never learns of endpoints during an upgrade: one of an earlier release does not answer the newer question.
-func TestPeerOfAnEarlierReleaseIsAskedInItsForm(t *testing.T) {
+// Guards against a node that learns of no endpoints during an upgrade, because its peers are of an earlier release and
+// do not answer requests for compressed changes.
+func TestUnansweredRequestIsRepeatedUncompressed(t *testing.T) {
 	n := newNodes(t, 1)[0]
 	earlier := chivewire.NewMesh(chivestand.FreeAddress(), chivewire.TCP{})
-	answers := fleetChanges(200)
-	chivewire.Receive(earlier, chivewire.KindChangesAsk, func(from string, ask chivegossip.ChangesAsk) {
-		_ = earlier.Send(from, chivewire.KindChangesAnswer, answers)
+	changes := randomChanges(200)
+	chivewire.Receive(earlier, chivewire.KindChangesAsk, func(from string, request chivegossip.ChangesAsk) {
+		_ = earlier.Send(from, chivewire.KindChangesAnswer, changes)
 	})
 	if err := earlier.Start(t.Context()); err != nil {
 		t.Fatal(err)
@@ -65,12 +66,12 @@
 	})
 }
 
-// eventually waits until something holds.
-func eventually(t *testing.T, what string, holds func() bool) {
+// eventually waits until a condition holds.
+func eventually(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(5 * time.Second); !holds(); time.Sleep(20 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("not within 5 s: %s", what)
+	for deadline := time.Now().Add(5 * time.Second); !condition(); time.Sleep(20 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("condition not met within 5 s: %s", description)
 		}
 	}
 }
--- a/chivegossip/readers.go
+++ b/chivegossip/readers.go
@@ -10,137 +10,144 @@
 	"chivedrift/chivewire"
 )
 
-// In a large fleet a few nodes read the store for all: with every node waiting on every topic, each record costs a call a node.
-// The readers are the first nodes by a hash of their address, so all agree without talking. When a node has learnt
-// something it publishes its digest to its children in a tree, which ask for what they lack and publish in their turn; each node has two parents. A node that
-// hears from no peer for a while reads the store itself.
+// In a large fleet only a few nodes, the readers, read the store: if every node read every topic, each record would
+// cost one call per node. The readers are the first nodes by a hash of their address, so all nodes agree on them
+// without communication. A node that has learnt of a change publishes its digest to its children in a tree; they
+// request what they lack and publish in turn. Each node has two parents. A node that hears from no peer for
+// peerSilenceTimeout reads the store itself.
 
 const (
-	// Readers is how many nodes read the store; fleets up to this size all do.
+	// Readers is the number of nodes that read the store; in fleets up to this size all nodes do.
 	Readers = 8
-	// readEvery is about how often one of the readers begins a new read of a topic. A read waits for the next record, so that a
-	// change is seen at once; but a wait can be deaf: its connection has gone silent, or the store has lost the wait itself.
-	readEvery = 700 * time.Millisecond
-	// busyPace is the minimum time between two reads of a topic that many write to, so that one read brings many records.
-	busyPace = 300 * time.Millisecond
-	// branches is how many nodes each node is the first to tell, in a tree whose roots are the readers. Of 600 endpoints that are new at once to
-	// 300 nodes on links of 10 Mbit/s the busiest node then sends 0.73 MB, and the last one knows them after 0.94 s; with readers that tell all
-	// others it is 2.5 MB, and grows with the fleet, and 1.8 s (virtual time).
-	branches = 6
-	// parents is how many nodes publish to one, so that one that stands still holds up nobody.
-	parents = 2
-	// aloneAfter is the silence of all peers after which a node reads the store itself: each peer compares with one of its partners drawn at random
-	// every 0.4 s, and each node is the partner of as many as it has, so that four seconds without any happen to a connected node about once in a day.
-	aloneAfter = 4 * time.Second
-	// SettleFor is how long a node that starts, or becomes one of the first by hash, waits before it takes itself for a reader: until it knows the
-	// fleet each node is the first of the few that it knows. 300 nodes that start at once know each other after 0.6 s (on virtual time). A change
-	// of the configuration has two seconds to be in force; in the meantime it comes from the nodes that do read.
+	// readInterval is about how often one of the readers starts a new read of a topic. A read is a long poll that ends
+	// with the next record, so a change is normally seen at once. But a long poll may miss records: its connection may
+	// have died unnoticed, or the store may have lost the poll.
+	readInterval = 700 * time.Millisecond
+	// busyReadDelay is the shortest delay before the next read of a topic with many writers, so that one read returns
+	// many records.
+	busyReadDelay = 300 * time.Millisecond
+	// fanOut is how many nodes have a given node as their first parent, in a tree whose roots are the readers. When 600
+	// endpoints appear at once in a fleet of 300 nodes on links of 10 Mbit/s, the busiest node sends 0.73 MB, and the
+	// last node knows them after 0.94 s. If the readers told all other nodes, it would be 2.5 MB, growing with the
+	// fleet, and 1.8 s (virtual time).
+	fanOut = 6
+	// parentsPerNode is how many nodes publish to each node, so that one stalled parent delays nobody.
+	parentsPerNode = 2
+	// peerSilenceTimeout is the silence of all peers after which a node reads the store itself. On average a node
+	// receives one digest every 0.4 s. If the senders drew their peers at random, a connected node would go four
+	// seconds without any about once a day; sending to the peers in turn makes that rarer.
+	peerSilenceTimeout = 4 * time.Second
+	// SettleFor is how long a node waits, after it started or came to be among the first by hash, before it counts
+	// itself as a reader: until it knows the fleet, each node is the first of the few that it knows. 300 nodes that
+	// start at once know each other after 0.6 s (virtual time). A change of the configuration has two seconds to be in
+	// force; meanwhile it comes from the nodes that do read.
 	SettleFor = 1500 * time.Millisecond
 )
 
-// fleet is what a node knows of who reads.
-type fleet struct {
+// topology is the part that this node has in reading the store and in passing changes on.
+type topology struct {
 	mu sync.Mutex
-	// rank is this node's place among the readers, and -1 when it is none of them.
+	// rank is this node's index among the readers, -1 if it is not one of them.
 	rank int
-	// since is when this node became one of them, or started.
-	since    time.Time
-	reading  []string
-	children []string
-	// partners are the peers that this node compares itself with.
-	partners []string
-	heard    atomic.Int64
-	told     chan struct{}
+	// roleSince is when this node became a reader, or started.
+	roleSince time.Time
+	readers   []string
+	children  []string
+	// gossipPeers are the peers to which this node sends digests.
+	gossipPeers []string
+	lastHeard   atomic.Int64
+	publishNow  chan struct{}
 }
 
-// SetMembers takes a change of the fleet.
+// SetMembers recomputes the readers, the children and the gossip peers of this node.
 func (s *Service) SetMembers(members []chivemember.Member) {
 	ranked := chivemember.AddressesByHash(members)
-	reading := ranked[:min(Readers, len(ranked))]
-	own := slices.Index(reading, s.o.Mesh.Self())
-	place := slices.Index(ranked, s.o.Mesh.Self())
-	children, partners := childrenOf(place, ranked), chivemember.Partners(s.o.Mesh.Self(), ranked)
-	s.fleet.mu.Lock()
-	defer s.fleet.mu.Unlock()
-	if own >= 0 && s.fleet.rank < 0 {
-		s.fleet.since = time.Now()
+	readers := ranked[:min(Readers, len(ranked))]
+	rank := slices.Index(readers, s.options.Mesh.Self())
+	position := slices.Index(ranked, s.options.Mesh.Self())
+	children, gossipPeers := childrenOf(position, ranked), chivemember.Partners(s.options.Mesh.Self(), ranked)
+	s.topology.mu.Lock()
+	defer s.topology.mu.Unlock()
+	if rank >= 0 && s.topology.rank < 0 {
+		s.topology.roleSince = time.Now()
 	}
-	s.fleet.rank, s.fleet.reading, s.fleet.children, s.fleet.partners = own, reading, children, partners
+	s.topology.rank, s.topology.readers, s.topology.children, s.topology.gossipPeers = rank, readers, children, gossipPeers
 }
 
-// childrenOf returns whom the node at a place among all tells at once: a reader the other readers, and each its part of the nodes further on, at most
-// twelve.
-func childrenOf(own int, ranked []string) []string {
-	if own < 0 {
+// childrenOf returns the nodes to which the node at a position in the order by hash publishes: a reader to the other
+// readers, and each node to its children in the tree, at most twelve.
+func childrenOf(position int, ranked []string) []string {
+	if position < 0 {
 		return nil
 	}
 	var children []string
-	if own < Readers {
-		children = slices.Concat(ranked[:own], ranked[own+1:min(Readers, len(ranked))])
+	if position < Readers {
+		children = slices.Concat(ranked[:position], ranked[position+1:min(Readers, len(ranked))])
 	}
-	for place := Readers; place < len(ranked); place++ {
-		first := (place - Readers) / branches
-		if own >= first && own < first+parents && own < place {
-			children = append(children, ranked[place])
+	for child := Readers; child < len(ranked); child++ {
+		firstParent := (child - Readers) / fanOut
+		if position >= firstParent && position < firstParent+parentsPerNode && position < child {
+			children = append(children, ranked[child])
 		}
 	}
 	return children
 }
 
-// ReadWait is how long this node's next read of the store waits for a record; fresh tells that the read before has brought
-// something.
+// ReadWait returns how long this node's next read of the store waits for a record; gotRecord tells whether the last
+// read returned any.
 //
-// A record ends the waits of all readers in the same moment. If all began the next wait with the same length, they would also
-// end together, and a change that the waits did not hear of would be seen by nobody until then. So after a record each reader
-// waits for its rank, and only after a wait without one for a whole round: one of them always asks soon, and tells the others.
-func (s *Service) ReadWait(fresh bool) time.Duration {
-	s.fleet.mu.Lock()
-	defer s.fleet.mu.Unlock()
-	if fresh && s.fleet.rank >= 0 {
-		return readEvery * time.Duration(s.fleet.rank+1)
+// A record ends the waits of all readers at the same moment. If the next waits were all of one length, they would also
+// end together, and a change that they missed would not be seen until then. So after a record each reader waits in
+// proportion to its rank, and after an empty read for a full round: one of them soon reads again, and tells the others.
+func (s *Service) ReadWait(gotRecord bool) time.Duration {
+	s.topology.mu.Lock()
+	defer s.topology.mu.Unlock()
+	if gotRecord && s.topology.rank >= 0 {
+		return readInterval * time.Duration(s.topology.rank+1)
 	}
-	return readEvery * time.Duration(max(len(s.fleet.reading), 1))
+	return readInterval * time.Duration(max(len(s.topology.readers), 1))
 }
 
-// ReadPace returns how long this node waits after an answer before it reads a busy topic again. The wait rises with its rank among the readers, since
-// most of what it would read has been passed on by the readers before it.
+// ReadPace returns how long this node waits after an answer before it reads a busy topic again. The delay rises with
+// its rank, since the readers before it have passed on most of what it would read.
 func (s *Service) ReadPace() time.Duration {
-	s.fleet.mu.Lock()
-	defer s.fleet.mu.Unlock()
-	return busyPace * time.Duration(max(s.fleet.rank, 0)+1)
+	s.topology.mu.Lock()
+	defer s.topology.mu.Unlock()
+	return busyReadDelay * time.Duration(max(s.topology.rank, 0)+1)
 }
 
-// Held reports whether others read the store for this node.
+// Held reports whether this node leaves reading the store to others: it is not a reader and hears from its peers.
 func (s *Service) Held() bool {
-	s.fleet.mu.Lock()
-	reads := s.fleet.rank >= 0
-	s.fleet.mu.Unlock()
-	return !reads && time.Now().UnixNano()-s.fleet.heard.Load() < int64(aloneAfter)
+	s.topology.mu.Lock()
+	isReader := s.topology.rank >= 0
+	s.topology.mu.Unlock()
+	return !isReader && time.Now().UnixNano()-s.topology.lastHeard.Load() < int64(peerSilenceTimeout)
 }
 
-// Reads reports whether this node has been one of those that read the store for long enough to be sure of it. A node that knows no other is.
+// Reads reports whether this node has been a reader for at least SettleFor. A node that knows no other node counts as a
+// reader.
 func (s *Service) Reads() bool {
-	s.fleet.mu.Lock()
-	defer s.fleet.mu.Unlock()
-	return s.fleet.rank >= 0 && time.Since(s.fleet.since) >= SettleFor
+	s.topology.mu.Lock()
+	defer s.topology.mu.Unlock()
+	return s.topology.rank >= 0 && time.Since(s.topology.roleSince) >= SettleFor
 }
 
-// Learnt hears that this node has learnt something.
+// Learnt has the service publish what this node has learnt.
 func (s *Service) Learnt() {
 	select {
-	case s.fleet.told <- struct{}{}:
+	case s.topology.publishNow <- struct{}{}:
 	default:
-		// The children are about to be told anyway.
+		// A publication is pending already.
 	}
 }
 
-// publish shows the children what this node knows; they ask for what they lack.
+// publish sends this node's digest to its children, which request what they lack.
 func (s *Service) publish() {
-	s.fleet.mu.Lock()
-	children := s.fleet.children
-	s.fleet.mu.Unlock()
-	own := s.digest()
+	s.topology.mu.Lock()
+	children := s.topology.children
+	s.topology.mu.Unlock()
+	local := s.localDigest()
 	for _, address := range children {
-		s.send(address, chivewire.KindDigest, Digest{Table: own.Table, Offset: own.Offset})
+		s.send(address, chivewire.KindDigest, Digest{Table: local.Table, Offset: local.Offset})
 	}
 }
--- a/chivegossip/service.go
+++ b/chivegossip/service.go
@@ -15,17 +15,17 @@
 	"chivedrift/chivewire"
 )
 
-// ServiceName is the name under which the service registers.
+// ServiceName is the name under which the gossip service registers.
 const ServiceName = "gossip"
 
 const (
-	// askEvery is how often a node compares itself with one peer drawn at random: a change reaches a node that only peers
-	// can tell within about a second, against the two seconds in which a configuration has to be in force.
-	askEvery = 400 * time.Millisecond
-	// firstAskEvery replaces askEvery while a node knows no endpoints, for firstAsksFor after its start.
-	firstAskEvery = 100 * time.Millisecond
-	firstAsksFor  = 5 * time.Second
-	inboxSize     = 256
+	// digestInterval is how often a node sends its digest to one peer. A change that only peers can deliver then reaches a
+	// node within about a second; a configuration has to be in force within two.
+	digestInterval = 400 * time.Millisecond
+	// startupDigestInterval applies while a node knows no endpoints, at most for startupPhase after its start.
+	startupDigestInterval = 100 * time.Millisecond
+	startupPhase          = 5 * time.Second
+	inboxSize             = 256
 )
 
 // Tables holds the routing table in force.
@@ -34,29 +34,29 @@
 	Version() int64
 	// Document returns the document in force and its version.
 	Document() ([]byte, int64)
-	// Learn takes a document.
+	// Learn puts a document in force if it is valid and newer; source is named in the log.
 	Learn(document []byte, source string)
-	// Hear takes note that a version exists.
+	// Hear records that a version exists; source is named in the log.
 	Hear(version int64, source string)
 }
 
-// Endpoints holds what is known of the endpoints.
+// Endpoints is the directory of the known endpoints.
 type Endpoints interface {
 	// Newest returns the offset of the newest change.
 	Newest() chivelog.Position
-	// Update returns what a peer lacks that has taken everything up to an offset.
+	// Update returns the changes for a peer that has applied everything up to an offset.
 	Update(after chivelog.Position) chivedirectory.Update
-	// Learn takes an update.
+	// Learn applies an update; source is named in the log.
 	Learn(update chivedirectory.Update, source string)
-	// Staleness returns how far back it matters whether the store answered other nodes; 0 where it does not.
+	// Staleness returns how far back this node needs to know whether the store answered its peers; 0 if it does not.
 	Staleness() time.Duration
-	// Answers returns how long ago the store answered this node, as far as that is within a time.
+	// Answers returns how long ago the store answered this node, for every answer within the given time.
 	Answers(within time.Duration) []time.Duration
-	// HearAnswers takes how long ago, seen from a moment, the store answered another node.
-	HearAnswers(from time.Time, ages []time.Duration)
+	// HearAnswers records that the store answered another node, at the given ages before asOf.
+	HearAnswers(asOf time.Time, ages []time.Duration)
 }
 
-// Options are the parts the service is made of.
+// Options are the dependencies of the service.
 type Options struct {
 	Mesh      *chivewire.Mesh
 	Tables    Tables
@@ -64,53 +64,55 @@
 	Logger    *slog.Logger
 }
 
-// Digest asks a peer to compare what it knows with what the sender knows. Its form is that of all releases, so that nodes of two releases
-// can tell each other (earlier.go).
+// Digest states what the sender knows and asks the peer to compare. Its encoding is the same in all releases, so that
+// nodes of two releases can exchange changes (earlier_release.go).
 type Digest struct {
 	Table  int64
 	Offset chivelog.Position
-	// Reply tells that the sender was asked; only nodes of earlier releases say so, and expect to be sent what they lack.
+	// Reply marks the answer to a digest. Only nodes of earlier releases set it; they expect to be sent what they lack.
 	Reply bool
 }
 
-// DigestAnswer answers a peer that knows less, or tells it of a change: it asks for what it lacks.
+// DigestAnswer tells a peer what the sender knows: in answer to a digest that shows less, or after a change. The peer
+// requests what it lacks.
 type DigestAnswer struct {
 	Table  int64
 	Offset chivelog.Position
 }
 
-// ChangesAsk asks for the changes of endpoints after an offset.
+// ChangesAsk requests the changes of endpoints after an offset, uncompressed.
 type ChangesAsk struct {
 	After chivelog.Position
 }
 
-// Service compares this node's digest with its peers'.
+// Service exchanges digests with peers and transfers what either side lacks.
 type Service struct {
-	o     Options
-	began time.Time
-	inbox *chivewire.Inbox
-	fleet fleet
-	stale chan struct{}
-	// sender, receiver and wake, the time of the next look at what to ask, are the run goroutine's.
-	sender   *chivetransfer.Sender
-	receiver *chivetransfer.Receiver
-	wake     *time.Timer
-	changes  changesAsk
-	packed   packed
-	// turn counts the digests that were sent; it begins anywhere, so that nodes which start together do not go round together.
-	turn   int
-	duties chivekernel.Duties
+	options   Options
+	startedAt time.Time
+	inbox     *chivewire.Inbox
+	topology  topology
+	queryNow  chan struct{}
+	// sender, receiver and fetchTimer, which fires when the next document part may be due, belong to the run goroutine.
+	sender     *chivetransfer.Sender
+	receiver   *chivetransfer.Receiver
+	fetchTimer *time.Timer
+	pending    pendingChanges
+	cached     cachedResponse
+	// roundRobin counts the digests that were sent. It starts at a random value, so that nodes started together do not
+	// go through their peers in step.
+	roundRobin int
+	goroutines chivekernel.Duties
 }
 
-// New returns a service that asks nobody yet.
-func New(o Options) *Service {
+// New returns a service that sends nothing before Start.
+func New(options Options) *Service {
 	s := &Service{
-		o: o, began: time.Now(), inbox: chivewire.NewInbox(o.Mesh, inboxSize), stale: make(chan struct{}, 1),
-		sender: chivetransfer.NewSender(), receiver: chivetransfer.NewReceiver(), turn: rand.IntN(math.MaxInt32),
+		options: options, startedAt: time.Now(), inbox: chivewire.NewInbox(options.Mesh, inboxSize), queryNow: make(chan struct{}, 1),
+		sender: chivetransfer.NewSender(), receiver: chivetransfer.NewReceiver(), roundRobin: rand.IntN(math.MaxInt32),
 	}
-	s.fleet.told = make(chan struct{}, 1)
-	s.fleet.since = s.began
-	s.fleet.heard.Store(s.began.UnixNano())
+	s.topology.publishNow = make(chan struct{}, 1)
+	s.topology.roleSince = s.startedAt
+	s.topology.lastHeard.Store(s.startedAt.UnixNano())
 	chivewire.Queue[Digest](s.inbox, chivewire.KindDigest)
 	chivewire.Queue[DigestAnswer](s.inbox, chivewire.KindDigestAnswer)
 	chivewire.Queue[ChangesAsk](s.inbox, chivewire.KindChangesAsk)
@@ -124,173 +126,176 @@
 	chivewire.Queue[chivetransfer.Ask](s.inbox, chivewire.KindDocumentAsk)
 	chivewire.Queue[chivetransfer.Part](s.inbox, chivewire.KindDocumentPart)
 	chivewire.Queue[chivetransfer.Refusal](s.inbox, chivewire.KindDocumentRefusal)
-	// A question on a connection that was lost is not answered any more.
-	s.o.Mesh.OnLost(func(peer string) { s.inbox.Offer(chivewire.Message{From: peer, Body: lost{}}) })
+	// A request on a lost connection will not be answered.
+	s.options.Mesh.OnLost(func(peer string) { s.inbox.Offer(chivewire.Message{From: peer, Body: connectionLost{}}) })
 	return s
 }
 
-// Start begins to compare.
+// Start starts the exchange with peers.
 func (s *Service) Start(ctx context.Context) error {
-	s.duties.Begin(ctx, s.run)
+	s.goroutines.Begin(ctx, s.run)
 	return nil
 }
 
-// Stop ends that.
+// Stop ends the exchange and waits for its goroutine.
 func (s *Service) Stop(context.Context) error {
-	s.duties.End()
+	s.goroutines.End()
 	return nil
 }
 
-// Dump returns what this node would tell a peer.
+// Dump returns this node's digest and the state of its inbox.
 func (s *Service) Dump() any {
 	return struct {
 		Digest DigestAnswer    `json:"digest"`
 		Ring   chivering.Depth `json:"ring"`
-	}{s.digest(), s.inbox.Depth()}
+	}{s.localDigest(), s.inbox.Depth()}
 }
 
 func (s *Service) run(ctx context.Context) {
-	tick := time.NewTicker(askEvery)
+	tick := time.NewTicker(digestInterval)
 	defer tick.Stop()
-	first := time.NewTicker(firstAskEvery)
-	defer first.Stop()
-	s.wake = time.NewTimer(askEvery)
-	defer s.wake.Stop()
+	startupTick := time.NewTicker(startupDigestInterval)
+	defer startupTick.Stop()
+	s.fetchTimer = time.NewTimer(digestInterval)
+	defer s.fetchTimer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			s.compareWithOne()
-			s.askAnswers()
-		case <-first.C:
-			if s.o.Endpoints.Newest() >= 0 || time.Since(s.began) > firstAsksFor {
-				first.Stop()
+			s.sendDigest()
+			s.queryReaders()
+		case <-startupTick.C:
+			if s.options.Endpoints.Newest() >= 0 || time.Since(s.startedAt) > startupPhase {
+				startupTick.Stop()
 				continue
 			}
-			s.compareWithOne()
-		case <-s.wake.C:
-			s.fetch()
-		case <-s.stale:
-			s.askAnswers()
-		case <-s.fleet.told:
+			s.sendDigest()
+		case <-s.fetchTimer.C:
+			s.requestDocumentPart()
+		case <-s.queryNow:
+			s.queryReaders()
+		case <-s.topology.publishNow:
 			s.publish()
 		case m := <-s.inbox.Ready():
 			s.handle(m)
-			s.fetch()
+			s.requestDocumentPart()
 		}
 	}
 }
 
-// compareWithOne sends a digest to the next of the partners: in turn, so that each gets one within a bounded time.
-func (s *Service) compareWithOne() {
-	s.fleet.mu.Lock()
-	partners := s.fleet.partners
-	s.fleet.mu.Unlock()
-	if len(partners) == 0 {
+// sendDigest sends a digest to the next peer in turn, so that each peer gets one within a bounded time.
+func (s *Service) sendDigest() {
+	s.topology.mu.Lock()
+	peers := s.topology.gossipPeers
+	s.topology.mu.Unlock()
+	if len(peers) == 0 {
 		return
 	}
-	own := s.digest()
-	s.turn++
-	s.send(partners[s.turn%len(partners)], chivewire.KindDigest, Digest{Table: own.Table, Offset: own.Offset})
+	local := s.localDigest()
+	s.roundRobin++
+	s.send(peers[s.roundRobin%len(peers)], chivewire.KindDigest, Digest{Table: local.Table, Offset: local.Offset})
 }
 
-// digest returns what this node knows.
-func (s *Service) digest() DigestAnswer {
-	return DigestAnswer{Table: s.o.Tables.Version(), Offset: s.o.Endpoints.Newest()}
+// localDigest returns what this node knows.
+func (s *Service) localDigest() DigestAnswer {
+	return DigestAnswer{Table: s.options.Tables.Version(), Offset: s.options.Endpoints.Newest()}
 }
 
 func (s *Service) handle(m chivewire.Message) {
-	if _, gone := m.Body.(lost); gone {
+	if _, isLost := m.Body.(connectionLost); isLost {
 		s.receiver.Forget(m.From)
 		return
 	}
-	s.fleet.heard.Store(time.Now().UnixNano())
+	s.topology.lastHeard.Store(time.Now().UnixNano())
 	switch body := m.Body.(type) {
 	case Digest:
-		s.compare(m.From, body)
+		s.handleDigest(m.From, body)
 	case DigestAnswer:
-		s.ask(m.From, body)
+		s.requestChanges(m.From, body)
 	case ChangesAsk:
-		s.send(m.From, chivewire.KindChangesAnswer, s.o.Endpoints.Update(body.After))
+		s.send(m.From, chivewire.KindChangesAnswer, s.options.Endpoints.Update(body.After))
 	case PackedAsk:
-		s.answerPacked(m.From, body)
+		s.sendChanges(m.From, body)
 	case PackedChanges:
-		s.takePacked(m.From, body)
+		s.receiveCompressed(m.From, body)
 	case chivedirectory.Update:
-		s.o.Endpoints.Learn(body, "peer "+m.From)
+		s.options.Endpoints.Learn(body, "peer "+m.From)
 	case earlierDocument:
-		s.takeEarlierDocument(m.From, body)
+		s.receiveEarlierDocument(m.From, body)
 	case earlierChanges:
-		s.o.Endpoints.Learn(body.update(), "peer "+m.From)
+		s.options.Endpoints.Learn(body.update(), "peer "+m.From)
 	case chivetransfer.Ask:
-		s.hand(m.From, body)
+		s.serveDocumentPart(m.From, body)
 	case chivetransfer.Part:
-		s.take(m.From, body)
+		s.receiveDocumentPart(m.From, body)
 	case chivetransfer.Refusal:
 		s.receiver.Refused(time.Now(), m.From, body)
 	case AnswersAsk:
-		s.send(m.From, chivewire.KindAnswers, Answers{Asked: body.Asked, Ages: s.o.Endpoints.Answers(body.Within)})
+		s.send(m.From, chivewire.KindAnswers, Answers{Asked: body.Asked, Ages: s.options.Endpoints.Answers(body.Within)})
 	case Answers:
-		s.hearAnswers(body)
+		s.receiveAnswers(body)
 	}
 }
 
-// compare asks for what the peer has beyond this node, and tells it when this node has more.
-func (s *Service) compare(from string, theirs Digest) {
-	if theirs.Reply {
-		s.sendEarlier(from, theirs)
+// handleDigest requests what the peer has beyond this node, and answers if this node has more.
+func (s *Service) handleDigest(peer string, remote Digest) {
+	if remote.Reply {
+		s.sendToEarlierRelease(peer, remote)
 		return
 	}
-	s.ask(from, DigestAnswer{Table: theirs.Table, Offset: theirs.Offset})
-	own := s.digest()
-	if own.Table > theirs.Table || own.Offset > theirs.Offset {
-		s.send(from, chivewire.KindDigestAnswer, own)
+	s.requestChanges(peer, DigestAnswer{Table: remote.Table, Offset: remote.Offset})
+	local := s.localDigest()
+	if local.Table > remote.Table || local.Offset > remote.Offset {
+		s.send(peer, chivewire.KindDigestAnswer, local)
 	}
 }
 
-// ask asks a peer for the changes that this node lacks, and notes what version it has.
-func (s *Service) ask(from string, theirs DigestAnswer) {
-	s.hearVersion(from, theirs.Table)
-	own := s.o.Endpoints.Newest()
-	if own >= theirs.Offset || !s.changes.mayAsk(time.Now(), own, theirs.Offset) {
+// requestChanges records the peer's version and requests the changes of endpoints that this node lacks.
+func (s *Service) requestChanges(from string, remote DigestAnswer) {
+	s.recordVersion(from, remote.Table)
+	newest := s.options.Endpoints.Newest()
+	if newest >= remote.Offset || !s.pending.mayRequest(time.Now(), newest, remote.Offset) {
 		return
 	}
-	if s.changes.plain {
-		s.send(from, chivewire.KindChangesAsk, ChangesAsk{After: own})
+	if s.pending.uncompressed {
+		s.send(from, chivewire.KindChangesAsk, ChangesAsk{After: newest})
 		return
 	}
-	s.send(from, chivewire.KindPackedAsk, PackedAsk{After: own})
+	s.send(from, chivewire.KindPackedAsk, PackedAsk{After: newest})
 }
 
-// changesPatience is how long changes that were asked for may take before another peer is asked: those of 600 endpoints, 57 KB, take 46 ms over
-// the slowest link of today's VMs.
-const changesPatience = 200 * time.Millisecond
+// changesTimeout is how long requested changes may take before another peer is asked. Those of 600 endpoints, 57 KB,
+// take 46 ms over the slowest link of today's VMs.
+const changesTimeout = 200 * time.Millisecond
 
-// changesAsk is the question for changes that is open.
-type changesAsk struct {
-	at     time.Time
-	offset chivelog.Position
-	// after is what this node had taken when it asked; plain means that the question is in the form of earlier releases.
-	after chivelog.Position
-	plain bool
+// pendingChanges is the last request for changes of endpoints.
+type pendingChanges struct {
+	requestedAt time.Time
+	upTo        chivelog.Position
+	// after is the offset up to which this node had applied the changes when it sent the request; uncompressed means
+	// that the request had the form of earlier releases.
+	after        chivelog.Position
+	uncompressed bool
 }
 
-// mayAsk reports whether to ask a peer for the changes up to an offset; not when another one that has them was asked just now. A question that
-// was not answered is put in the other form the next time.
+// mayRequest reports whether to request the changes up to an offset from a peer, and records the request. It is false
+// if another peer that has them was asked within changesTimeout. If the last request brought nothing, the next one
+// takes the other form.
 //
-// Two peers tell each node of the same change. Asking one, 78 nodes on links of 10 Mbit/s receive the changes of 600 new endpoints in 4.5 MB,
-// the last node after 0.49 s; asking both, in 8.6 MB, after 0.7 s (on virtual time).
-func (a *changesAsk) mayAsk(now time.Time, after, offset chivelog.Position) bool {
-	if offset <= a.offset && now.Sub(a.at) < changesPatience {
+// Two peers tell each node of the same change. If each node requests it from one, 78 nodes on links of 10 Mbit/s
+// receive the changes of 600 new endpoints in 4.5 MB, the last node after 0.49 s; if from both, in 8.6 MB and 0.7 s
+// (virtual time).
+func (p *pendingChanges) mayRequest(now time.Time, after, upTo chivelog.Position) bool {
+	if upTo <= p.upTo && now.Sub(p.requestedAt) < changesTimeout {
 		return false
 	}
-	a.plain = !a.at.IsZero() && a.after == after && !a.plain
-	a.at, a.offset, a.after = now, offset, after
+	p.uncompressed = !p.requestedAt.IsZero() && p.after == after && !p.uncompressed
+	p.requestedAt, p.upTo, p.after = now, upTo, after
 	return true
 }
 
-// send passes a message to the mesh; one that is lost is made up for by the next comparison.
+// send passes a message to the mesh. The next exchange of digests makes up for a lost message.
 func (s *Service) send(to string, kind chivewire.Kind, body any) {
-	_ = s.o.Mesh.Send(to, kind, body)
+	_ = s.options.Mesh.Send(to, kind, body)
 }
--- a/chivegossip/service_test.go
+++ b/chivegossip/service_test.go
@@ -16,7 +16,7 @@
 	"chivedrift/chivewire"
 )
 
-// fakeTables holds a version and its document.
+// fakeTables holds a version; its document is the version's number.
 type fakeTables struct {
 	mu      sync.Mutex
 	version int64
@@ -42,12 +42,12 @@
 
 func (f *fakeTables) Hear(int64, string) {}
 
-// fakeEndpoints is a directory behind a lock.
+// fakeEndpoints is a directory guarded by a mutex.
 type fakeEndpoints struct {
 	mu sync.Mutex
 	d  *chivedirectory.Directory
-	// changed hears of changes.
-	changed func()
+	// onChange is called after each change.
+	onChange func()
 }
 
 func (f *fakeEndpoints) Newest() chivelog.Position {
@@ -65,8 +65,8 @@
 func (f *fakeEndpoints) Learn(update chivedirectory.Update, _ string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if changed := f.d.Learn(time.Now(), update); changed && f.changed != nil {
-		f.changed()
+	if changed := f.d.Learn(time.Now(), update); changed && f.onChange != nil {
+		f.onChange()
 	}
 }
 
@@ -82,14 +82,14 @@
 	return f.d.Answers(time.Now(), within)
 }
 
-func (f *fakeEndpoints) HearAnswers(from time.Time, ages []time.Duration) {
+func (f *fakeEndpoints) HearAnswers(asOf time.Time, ages []time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	moments := make([]time.Time, 0, len(ages))
+	times := make([]time.Time, 0, len(ages))
 	for _, age := range ages {
-		moments = append(moments, from.Add(-age))
+		times = append(times, asOf.Add(-age))
 	}
-	f.d.HearAnswers(moments)
+	f.d.HearAnswers(times)
 }
 
 type fakeMembers []chivemember.Member
@@ -112,7 +112,7 @@
 	return newNodesAt(t, addresses, chivewire.TCP{})
 }
 
-// newNodesOn starts nodes on a network of virtual time.
+// newNodesOn starts nodes on a simulated network.
 func newNodesOn(t *testing.T, count int, network chivewire.Network) []*node {
 	t.Helper()
 	addresses := make([]string, count)
@@ -148,7 +148,7 @@
 	return nodes
 }
 
-func TestNewsReachesEveryNode(t *testing.T) {
+func TestChangesReachEveryNode(t *testing.T) {
 	nodes := newNodes(t, 20)
 	nodes[3].tables.Learn([]byte("7"), "store")
 	nodes[5].endpoints.Learn(chivedirectory.Update{Changes: []chivedirectory.Change{{Position: 4, Endpoint: chivedirectory.Endpoint{ID: "e", Pool: "p", Address: "127.0.0.1:1"}}}}, "store")
@@ -163,10 +163,10 @@
 	}
 }
 
-// Guards against changes that reach nodes only with the next periodic comparison.
-func TestReadersPublishToTheirChildrenAtOnce(t *testing.T) {
+// Guards against changes that reach nodes only with the next periodic digest.
+func TestReadersPublishToChildrenImmediately(t *testing.T) {
 	nodes := newNodes(t, 20)
-	held := awaitHeld(t, nodes)
+	nonReaders := awaitNonReaders(t, nodes)
 	for _, n := range nodes {
 		if !n.service.Held() {
 			n.tables.Learn([]byte("7"), "store")
@@ -174,63 +174,64 @@
 		}
 	}
 	deadline := time.Now().Add(300 * time.Millisecond)
-	for _, n := range held {
+	for _, n := range nonReaders {
 		for n.tables.Version() != 7 {
 			if time.Now().After(deadline) {
-				t.Fatal("a child does not know after 0.3 s")
+				t.Fatal("a child does not have the version after 0.3 s")
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
 	}
 }
 
-// awaitHeld waits until all nodes but the readers have heard of a peer.
-func awaitHeld(t *testing.T, nodes []*node) []*node {
+// awaitNonReaders waits until all nodes but the readers have heard from a peer, and returns them.
+func awaitNonReaders(t *testing.T, nodes []*node) []*node {
 	t.Helper()
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
-		var held []*node
+		var nonReaders []*node
 		for _, n := range nodes {
 			if n.service.Held() {
-				held = append(held, n)
+				nonReaders = append(nonReaders, n)
 			}
 		}
-		if len(held) == len(nodes)-chivegossip.Readers {
-			return held
+		if len(nonReaders) == len(nodes)-chivegossip.Readers {
+			return nonReaders
 		}
 	}
-	t.Fatalf("not all of %d nodes but %d are held", len(nodes), chivegossip.Readers)
+	t.Fatalf("not all of %d nodes except %d readers leave reading to others", len(nodes), chivegossip.Readers)
 	return nil
 }
 
-// Guards against readers that all read the same records of a busy topic: calls to the store grow with their number.
-func TestReadersOfABusyTopicShareTheReads(t *testing.T) {
+// Guards against readers that all read the same records of a busy topic, so that the calls to the store grow with the
+// number of readers.
+func TestReadsOfABusyTopicAreShared(t *testing.T) {
 	nodes := newNodes(t, 8)
-	perSecond, first := 0.0, false
+	readsPerSecond, hasFastest := 0.0, false
 	for _, n := range nodes {
-		pace := n.service.ReadPace()
-		perSecond += 1 / pace.Seconds()
-		first = first || pace == 300*time.Millisecond
+		delay := n.service.ReadPace()
+		readsPerSecond += 1 / delay.Seconds()
+		hasFastest = hasFastest || delay == 300*time.Millisecond
 	}
-	if perSecond > 10 || !first {
-		t.Errorf("%.1f reads a second, at most 10 expected, one reader every 300 ms: %v", perSecond, first)
+	if readsPerSecond > 10 || !hasFastest {
+		t.Errorf("%.1f reads per second, want at most 10; one reader reads every 300 ms: %v", readsPerSecond, hasFastest)
 	}
 }
 
-// Guards against changes missed for seconds because the store wakes all long polls at the same moment.
-func TestReadersDoNotWaitInStep(t *testing.T) {
+// Guards against changes missed for seconds because the long polls of all readers end at the same moment.
+func TestReadersUseDistinctLongPollWaits(t *testing.T) {
 	nodes := newNodes(t, 6)
 	seen := make(map[time.Duration]bool)
 	for _, n := range nodes {
 		wait := n.service.ReadWait(true)
 		if seen[wait] || wait > 6*700*time.Millisecond {
-			t.Errorf("a wait of %v after a record, seen before: %v", wait, seen[wait])
+			t.Errorf("wait of %v after a record, also used by another reader: %v", wait, seen[wait])
 		}
 		seen[wait] = true
 		if round := n.service.ReadWait(false); round != 6*700*time.Millisecond {
-			t.Errorf("a round of %v, want six steps", round)
+			t.Errorf("wait of %v after an empty read, want six intervals", round)
 		}
 	}
 	if !seen[700*time.Millisecond] {
-		t.Error("nobody asks again after one step")
+		t.Error("no reader reads again after one interval")
 	}
 }
