--- a/chivering/doc.go
+++ b/chivering/doc.go
@@ -1,2 +1,3 @@
-// Package chivering joins goroutines by bounded rings that answer at once when full and make their depth visible.
+// Package chivering provides bounded queues between goroutines that reject elements at once when full and report their
+// depth.
 package chivering
--- a/chivering/ring.go
+++ b/chivering/ring.go
@@ -7,12 +7,12 @@
 
 // Ring is a bounded queue of T between goroutines.
 type Ring[T any] struct {
-	slots    chan T
-	high     atomic.Int64
+	elements chan T
+	peak     atomic.Int64
 	rejected atomic.Int64
 }
 
-// Depth is what a state dump tells of a ring, in elements.
+// Depth describes how full a ring is, in elements, for state dumps.
 type Depth struct {
 	Now      int   `json:"now"`
 	Capacity int   `json:"capacity"`
@@ -22,17 +22,17 @@
 
 // New returns a ring that holds up to capacity elements.
 func New[T any](capacity int) *Ring[T] {
-	return &Ring[T]{slots: make(chan T, capacity)}
+	return &Ring[T]{elements: make(chan T, capacity)}
 }
 
-// Offer appends an element, or reports false at once when the ring is full.
+// Offer appends an element, or returns false at once if the ring is full.
 //
-// An unbounded queue would hide overload until memory ran out, and a silent drop would lose work:
-// the explicit answer makes the producer decide what a full ring means.
+// An unbounded queue would hide overload until memory runs out, and dropping elements silently would lose work. The
+// result makes the producer decide what a full ring means.
 func (r *Ring[T]) Offer(element T) bool {
 	select {
-	case r.slots <- element:
-		r.raise(int64(len(r.slots)))
+	case r.elements <- element:
+		r.updatePeak(int64(len(r.elements)))
 		return true
 	default:
 		r.rejected.Add(1)
@@ -40,31 +40,31 @@
 	}
 }
 
-// Take waits for the next element, or reports false once the context has ended.
+// Take waits for the next element, or returns false once the context has ended.
 func (r *Ring[T]) Take(ctx context.Context) (T, bool) {
 	select {
-	case element := <-r.slots:
+	case element := <-r.elements:
 		return element, true
 	case <-ctx.Done():
-		var none T
-		return none, false
+		var zero T
+		return zero, false
 	}
 }
 
-// Ready is the receiving end, for a select over several rings.
+// Ready returns the channel of elements, for a select over several rings.
 func (r *Ring[T]) Ready() <-chan T {
-	return r.slots
+	return r.elements
 }
 
-// Depth returns the present and highest depth and how many offers found the ring full.
+// Depth returns the current and the highest depth, and how many elements were rejected.
 func (r *Ring[T]) Depth() Depth {
-	return Depth{Now: len(r.slots), Capacity: cap(r.slots), High: r.high.Load(), Rejected: r.rejected.Load()}
+	return Depth{Now: len(r.elements), Capacity: cap(r.elements), High: r.peak.Load(), Rejected: r.rejected.Load()}
 }
 
-func (r *Ring[T]) raise(depth int64) {
+func (r *Ring[T]) updatePeak(depth int64) {
 	for {
-		high := r.high.Load()
-		if depth <= high || r.high.CompareAndSwap(high, depth) {
+		peak := r.peak.Load()
+		if depth <= peak || r.peak.CompareAndSwap(peak, depth) {
 			return
 		}
 	}
