--- a/chivemember/cold_start_test.go
+++ b/chivemember/cold_start_test.go
@@ -8,55 +8,58 @@
 	"chivedrift/chivemember"
 )
 
-// Guards against a node that starts and waits for its first tick before it contacts anybody.
-func TestNodeThatStartsGreetsItsSeedsAtOnce(t *testing.T) {
+// Guards against a node that waits for its first tick before it contacts a seed.
+func TestStartingNodeContactsSeedsImmediately(t *testing.T) {
 	f := newFleet(20, 1)
-	f.post("n001", f.views["n001"].Greet())
+	f.send("n001", f.views["n001"].Greet())
 	f.deliver()
-	if known := f.known("n001"); known < 2 {
-		t.Errorf("the node knows %d members before its first tick, itself included", known)
+	if count := f.memberCount("n001"); count < 2 {
+		t.Errorf("the node knows %d members before its first tick, including itself", count)
 	}
 	if again := f.views["n001"].Greet(); len(again) > 0 {
-		t.Errorf("a node that knows others sends %d greetings", len(again))
+		t.Errorf("a node that knows other members sends %d messages to seeds", len(again))
 	}
 }
 
-// Guards against a cold start in which the seeds send their whole view to each node, the square of the fleet in all.
-func TestColdStartDoesNotFillTheLinksOfTheSeeds(t *testing.T) {
+// Guards against seeds that send their whole view to each node in a cold start, the square of the fleet in total.
+func TestColdStartBoundsTheTrafficOfSeeds(t *testing.T) {
 	const (
 		size = 600
-		// updatesMost is what one node may send for each member, 70 bytes an update: 2 MB, less than a second of a link of 20 Mbit/s.
-		updatesMost = 50
-		joined      = 1500 * time.Millisecond
+		// maxUpdatesPerMember is what one node may send for each member. At 70 bytes an update this is 2 MB, less than
+		// a second of a link of 20 Mbit/s.
+		maxUpdatesPerMember = 50
+		joinTimeout         = 1500 * time.Millisecond
 	)
 	f := newFleet(size, 1)
 	seeds := []chivemember.Member{f.views[f.names[0]].Self(), f.views[f.names[1]].Self(), f.views[f.names[2]].Self()}
 	for _, name := range f.names {
 		f.views[name].SetSeeds(seeds)
 	}
-	f.run(joined, nil)
+	f.run(joinTimeout, nil)
 	busiest := ""
 	for _, name := range f.names {
-		if f.sent[name] > f.sent[busiest] {
+		if f.updatesSent[name] > f.updatesSent[busiest] {
 			busiest = name
 		}
 	}
-	if f.leastKnown() < size || f.sent[busiest] > updatesMost*size {
-		t.Errorf("after %v a node knows %d of %d, and %s has sent %d updates, at most %d expected", joined, f.leastKnown(), size, busiest, f.sent[busiest], updatesMost*size)
+	if f.minKnown() < size || f.updatesSent[busiest] > maxUpdatesPerMember*size {
+		t.Errorf("after %v a node knows %d of %d members, and %s has sent %d updates, want at most %d", joinTimeout, f.minKnown(), size, busiest, f.updatesSent[busiest], maxUpdatesPerMember*size)
 	}
-	t.Logf("%s has sent %d updates", busiest, f.sent[busiest])
+	t.Logf("%s has sent %d updates", busiest, f.updatesSent[busiest])
 }
 
-// Guards against a cold start whose membership traffic grows with the square of the fleet.
-func TestColdStartOfALargeFleet(t *testing.T) {
+// Guards against membership traffic in a cold start that grows with the square of the fleet.
+func TestColdStartBoundsTrafficPerNode(t *testing.T) {
 	const (
 		size = 300
-		// joined is the time within which every node has to know all others: a node of the fleet has to be of use a second after its start.
-		joined = 1500 * time.Millisecond
-		// messagesMost is what one node may receive for it: two a member, a tenth of a fifth of a core at 100 us each.
-		messagesMost = 2 * size
-		// changesMost is how many times one node may place its members anew, at about half a millisecond each.
-		changesMost = 40
+		// joinTimeout is the time within which every node has to know all others: a node has to be of use a second
+		// after its start.
+		joinTimeout = 1500 * time.Millisecond
+		// maxMessages is what one node may receive until then: two messages per member, a tenth of a fifth of a core at
+		// 100 us each.
+		maxMessages = 2 * size
+		// maxRingBuilds is how many times one node may rebuild its ring, at about half a millisecond each.
+		maxRingBuilds = 40
 	)
 	f := newFleet(size, 1)
 	seeds := f.views[f.names[0]].Members()
@@ -68,27 +71,27 @@
 	}
 	took := time.Duration(0)
 	f.run(5*time.Second, func() {
-		if took == 0 && f.leastKnown() == size {
-			took = f.now.Sub(f.began)
+		if took == 0 && f.minKnown() == size {
+			took = f.now.Sub(f.startedAt)
 		}
 	})
-	if took == 0 || took > joined {
-		t.Errorf("after %v the last node knew all others, expected %v; it knows %d of %d now", took, joined, f.leastKnown(), size)
+	if took == 0 || took > joinTimeout {
+		t.Errorf("last node knew all members after %v, want %v; now every node knows at least %d of %d", took, joinTimeout, f.minKnown(), size)
 	}
 	received := make([]int, 0, size)
-	changes := make([]int, 0, size)
+	ringBuilds := make([]int, 0, size)
 	for _, name := range f.names {
-		received = append(received, f.received[name])
-		changes = append(changes, int(f.views[name].Placed()))
+		received = append(received, f.messagesReceived[name])
+		ringBuilds = append(ringBuilds, int(f.views[name].Placed()))
 	}
 	slices.Sort(received)
-	slices.Sort(changes)
-	t.Logf("last node knew all after %v; messages received: middle %d, most %d; placements: middle %d, most %d; members told: middle %d, most %d",
-		took, received[size/2], received[size-1], changes[size/2], changes[size-1], f.middleTold(), f.mostTold())
-	if received[size/2] > messagesMost {
-		t.Errorf("the middle node received %d messages, expected %d at most", received[size/2], messagesMost)
+	slices.Sort(ringBuilds)
+	t.Logf("last node knew all members after %v; messages received: median %d, max %d; ring builds: median %d, max %d; updates received: median %d, max %d",
+		took, received[size/2], received[size-1], ringBuilds[size/2], ringBuilds[size-1], f.medianUpdatesReceived(), f.maxUpdatesReceived())
+	if received[size/2] > maxMessages {
+		t.Errorf("the median node received %d messages, want at most %d", received[size/2], maxMessages)
 	}
-	if changes[size/2] > changesMost {
-		t.Errorf("the middle node placed its members %d times, expected %d at most", changes[size/2], changesMost)
+	if ringBuilds[size/2] > maxRingBuilds {
+		t.Errorf("the median node built its ring %d times, want at most %d", ringBuilds[size/2], maxRingBuilds)
 	}
 }
--- a/chivemember/doc.go
+++ b/chivemember/doc.go
@@ -1,6 +1,7 @@
-// Package chivemember keeps each node's view of the fleet: who exists, who answers, who leaves.
+// Package chivemember maintains each node's view of the fleet: which nodes exist, which of them are alive and which are
+// leaving.
 //
-// The decisions are in View, which neither sends nor sleeps: ticks and messages go in, envelopes come out.
-// Every node watches a fixed handful of others, found on a ring of name hashes at growing distances, so that the cost
-// a node does not grow with the fleet while news crosses it in a few hops.
+// View makes the decisions. It neither sends nor sleeps: it takes ticks and messages, and returns the messages to send.
+// Service runs it. Each node probes a fixed number of others, chosen at growing distances on a ring of name hashes, so
+// that the cost per node does not grow with the fleet while updates reach all nodes in a few hops.
 package chivemember
--- a/chivemember/mass_loss_test.go
+++ b/chivemember/mass_loss_test.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// Guards against a large fleet that takes longer and longer to notice the loss of half its nodes, and whose busiest node receives each of them again and
-// again.
-func TestLossOfMoreThanHalfIsSeenInTime(t *testing.T) {
+// Guards against a large fleet that is slow to notice the loss of half of its nodes, and whose busiest node receives
+// each death many times.
+func TestMassLossIsDetectedInTime(t *testing.T) {
 	const (
 		size = 300
-		// seen is the time within which all that are left know who is.
-		seen = 8 * time.Second
-		// updatesMost is what one node may receive for each that died.
-		updatesMost = 20
-		killed      = 0.55
+		// detectionTimeout is the time within which every surviving node has to know the survivors.
+		detectionTimeout = 8 * time.Second
+		// maxUpdatesPerDeath is how many updates one node may receive for each death.
+		maxUpdatesPerDeath = 20
+		killedShare        = 0.55
 	)
 	f := newFleet(size, 1)
 	f.run(4*time.Second, nil)
-	f.told = make(map[string]int)
-	left := size
+	f.updatesReceived = make(map[string]int)
+	survivors := size
 	for _, name := range f.names {
-		if f.random.Float64() < killed {
-			f.gone[name] = true
-			left--
+		if f.random.Float64() < killedShare {
+			f.stopped[name] = true
+			survivors--
 		}
 	}
-	took := f.until(t, seen, func(name string) bool { return f.known(name) == left })
-	t.Logf("%d of %d are left, known after %v; the busiest received %d updates", left, size, took, f.mostTold())
-	if most := f.mostTold(); most > updatesMost*(size-left) {
-		t.Errorf("the busiest node received %d updates on %d deaths", most, size-left)
+	took := f.runUntil(t, detectionTimeout, func(name string) bool { return f.memberCount(name) == survivors })
+	t.Logf("%d of %d nodes survive, known to all after %v; the busiest node received %d updates", survivors, size, took, f.maxUpdatesReceived())
+	if updates := f.maxUpdatesReceived(); updates > maxUpdatesPerDeath*(size-survivors) {
+		t.Errorf("the busiest node received %d updates for %d deaths", updates, size-survivors)
 	}
 }
--- a/chivemember/member.go
+++ b/chivemember/member.go
@@ -6,15 +6,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is what the fleet believes of a member.
+// State is the state of a member as its peers see it.
 type State uint8
 
 const (
-	// Alive members answer and take work.
+	// Alive members respond and take work.
 	Alive State = 1
-	// Leaving members answer, finish what they have and take no new duties.
+	// Leaving members respond and finish their work, but take on nothing new.
 	Leaving State = 2
-	// Dead members do not answer.
+	// Dead members do not respond.
 	Dead State = 3
 )
 
@@ -31,7 +31,7 @@
 	return "unknown"
 }
 
-// Member is one node as others know it; a higher incarnation replaces every update on a lower one.
+// Member describes one node. An update with a higher incarnation replaces all with a lower one.
 type Member struct {
 	Name          string `json:"name"`
 	Address       string `json:"address"`
@@ -42,12 +42,12 @@
 	State         State  `json:"state"`
 }
 
-// supersedes reports whether this update on a member beats an earlier one.
-func (m Member) supersedes(known Member) bool {
-	if m.Incarnation != known.Incarnation {
-		return m.Incarnation > known.Incarnation
+// supersedes reports whether this update replaces another one on the same member.
+func (m Member) supersedes(other Member) bool {
+	if m.Incarnation != other.Incarnation {
+		return m.Incarnation > other.Incarnation
 	}
-	return m.State > known.State
+	return m.State > other.State
 }
 
 func (m Member) digest() uint64 {
@@ -56,7 +56,7 @@
 
 // ---------------------------------------------------------------- messages
 
-// Probe asks a watched member whether it answers and shows the sender's view in a digest.
+// Probe asks a member for a sign of life; Digest is that of the sender's view.
 type Probe struct {
 	Name        string
 	Incarnation int64
@@ -70,12 +70,12 @@
 	Digest      uint64
 }
 
-// News passes on updates on members.
+// News carries updates on members.
 type News struct {
 	Members []Member
 }
 
-// Confirm asks another watcher whether it has heard a member that the sender has not.
+// Confirm asks another prober of a member when it last heard from it, because the sender has not.
 type Confirm struct {
 	Name string
 }
@@ -86,19 +86,20 @@
 	AgoMs int64
 }
 
-// Sync is a whole view, sent where digests differ for longer than news takes to travel.
+// Sync carries the view of the sender, or a part of it, if digests have differed for longer than updates take to spread
+// or if the receiver is unknown to the sender. Reply asks for the receiver's view.
 type Sync struct {
 	Members []Member
 	Reply   bool
 }
 
-// EndpointNews says that an endpoint takes no new work until a time, in Unix milliseconds.
+// EndpointNews tells that an endpoint takes no new work until a time, in Unix milliseconds.
 type EndpointNews struct {
 	Endpoint string
 	UntilMs  int64
 }
 
-// Envelope is a message with the peer address it goes to.
+// Envelope is a message with the address of the peer that it is for.
 type Envelope struct {
 	To      string
 	Message any
--- a/chivemember/partners.go
+++ b/chivemember/partners.go
@@ -7,10 +7,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// AllPartnersUpTo is the largest fleet in which all others are partners of each node.
+// AllPartnersUpTo is the size of the largest fleet in which every node has all others as partners.
 const AllPartnersUpTo = 16
 
-// AddressesByHash returns the peer addresses of the members that are alive, in an order on which all nodes agree without talking.
+// AddressesByHash returns the peer addresses of the members that are Alive, ordered by a hash that all nodes agree on.
 func AddressesByHash(members []Member) []string {
 	type hashed struct {
 		hash    uint64
@@ -30,21 +30,23 @@
 	return addresses
 }
 
-// Partners returns the peers with which a node compares what both know: all in a small fleet, else those 1, 2, 4 ... places further on in the order by
-// hash, so that what one node knows crosses the fleet in as many steps as its size has binary digits, and each is the partner of as many.
+// Partners returns the peers with which a node exchanges digests: all others in a small fleet, otherwise those 1, 2, 4
+// ... positions further on in the order by hash. What one node knows then reaches all others in as many steps as the
+// size of the fleet has binary digits, and each node is the partner of as many nodes as it has partners.
 //
-// A peer drawn from the whole fleet each time would leave every node connected to half of it, as connections are kept for half a minute.
+// If the peer were drawn from the whole fleet each time, every node would be connected to half of the fleet, as
+// connections are kept for half a minute.
 func Partners(self string, ranked []string) []string {
-	own := slices.Index(ranked, self)
-	if own < 0 {
+	index := slices.Index(ranked, self)
+	if index < 0 {
 		return nil
 	}
 	if len(ranked) <= AllPartnersUpTo {
-		return slices.Concat(ranked[:own], ranked[own+1:])
+		return slices.Concat(ranked[:index], ranked[index+1:])
 	}
 	var partners []string
 	for distance := 1; distance < len(ranked); distance *= 2 {
-		partners = append(partners, ranked[(own+distance)%len(ranked)])
+		partners = append(partners, ranked[(index+distance)%len(ranked)])
 	}
 	return partners
 }
--- a/chivemember/service.go
+++ b/chivemember/service.go
@@ -19,27 +19,28 @@
 const ServiceName = "member"
 
 const (
-	ringSize     = 4096
-	listEvery    = 2 * time.Second
-	listTimeout  = 2 * time.Second
-	listEntry    = 170
-	listBytesPer = 1024
-	leavingFor   = time.Minute
-	// publishGap is the least time between two rounds of telling the parts of the node that the fleet has changed. Each of them
-	// works out anew what depends on the fleet; in the cold start of 300 nodes a change comes with nearly every message.
-	publishGap = 100 * time.Millisecond
-	// linesAtOnce is how many members that appear at once get a log line each; a node that joins a fleet of hundreds else writes hundreds
-	// of lines in its first tenth of a second.
-	linesAtOnce = 8
+	inboxSize          = 4096
+	listInterval       = 2 * time.Second
+	listTimeout        = 2 * time.Second
+	listBytesPerVM     = 170
+	listBytesPerSecond = 1024
+	leavingTTL         = time.Minute
+	// minPublishInterval is the least time between two notifications of the subscribers. Each of them recomputes what
+	// depends on the fleet, and in the cold start of 300 nodes nearly every message brings a change.
+	minPublishInterval = 100 * time.Millisecond
+	// maxAliveLines is the number of members appearing at once up to which each gets a log line; otherwise a node that
+	// joins a fleet of hundreds would write hundreds of lines in its first tenth of a second.
+	maxAliveLines = 8
 )
 
-// Lister tells which VMs the platform lists.
+// Lister lists the VMs of the platform.
 type Lister interface {
 	// VMs returns the platform's list of VMs.
 	VMs(ctx context.Context) ([]chivelog.VM, error)
 }
 
-// Service runs a View: one goroutine owns it, fed by a ring of messages and a tick; another polls the platform's list.
+// Service runs a View. One goroutine owns the view and passes ticks and the queued messages to it; another polls the
+// platform's list of VMs.
 type Service struct {
 	mesh    *chivewire.Mesh
 	lister  Lister
@@ -50,39 +51,39 @@
 	leaving atomic.Pointer[[]string]
 	version atomic.Uint64
 	deaths  atomic.Int64
-	// published is when the last change was told; the run goroutine's.
-	published time.Time
-	watchMu   sync.Mutex
-	watchers  []func([]Member)
-	duties    chivekernel.Duties
+	// publishedAt is when the last change was published; it belongs to the run goroutine.
+	publishedAt   time.Time
+	subscribersMu sync.Mutex
+	subscribers   []func([]Member)
+	goroutines    chivekernel.Duties
 }
 
-// An event is one input to the view: a message, a new list or the wish to leave.
+// An event is one input to the view: a message, a new list of seeds, a leaving endpoint, or the request to leave.
 type event struct {
-	from    string
-	message any
-	seeds   []Member
-	leaves  string
-	leave   chan struct{}
+	from            string
+	message         any
+	seeds           []Member
+	leavingEndpoint string
+	leaveDone       chan struct{}
 }
 
 // NewService returns the membership service of a node.
 func NewService(self Member, mesh *chivewire.Mesh, lister Lister, logger *slog.Logger) *Service {
-	s := &Service{mesh: mesh, lister: lister, logger: logger, view: NewView(self, time.Now()), inbox: chivering.New[event](ringSize)}
-	receive[Probe](s, chivewire.KindProbe)
-	receive[Ack](s, chivewire.KindAck)
-	receive[News](s, chivewire.KindNews)
-	receive[Confirm](s, chivewire.KindConfirm)
-	receive[Heard](s, chivewire.KindHeard)
-	receive[Sync](s, chivewire.KindSync)
-	receive[EndpointNews](s, chivewire.KindEndpointNews)
+	s := &Service{mesh: mesh, lister: lister, logger: logger, view: NewView(self, time.Now()), inbox: chivering.New[event](inboxSize)}
+	queueMessages[Probe](s, chivewire.KindProbe)
+	queueMessages[Ack](s, chivewire.KindAck)
+	queueMessages[News](s, chivewire.KindNews)
+	queueMessages[Confirm](s, chivewire.KindConfirm)
+	queueMessages[Heard](s, chivewire.KindHeard)
+	queueMessages[Sync](s, chivewire.KindSync)
+	queueMessages[EndpointNews](s, chivewire.KindEndpointNews)
 	s.publish()
 	return s
 }
 
-func receive[T any](s *Service, kind chivewire.Kind) {
+func queueMessages[T any](s *Service, kind chivewire.Kind) {
 	chivewire.Receive(s.mesh, kind, func(from string, message T) {
-		// A full ring drops a membership message; probes repeat and digests mend what news was lost.
+		// A full ring drops the message. Probes are repeated, and the comparison of digests repairs lost updates.
 		s.inbox.Offer(event{from: from, message: message})
 	})
 }
@@ -108,10 +109,10 @@
 // Members returns every member that is not dead, this node included.
 func (s *Service) Members() []Member { return *s.members.Load() }
 
-// EndpointLeaves tells the fleet that an endpoint, by its address, takes no new work.
+// EndpointLeaves tells the fleet that an endpoint, given by its address, takes no new work.
 func (s *Service) EndpointLeaves(address string) {
-	// A full ring loses the news; the next refusal of the endpoint brings it again.
-	s.inbox.Offer(event{leaves: address})
+	// A full ring drops the message; the endpoint's next refusal sends it again.
+	s.inbox.Offer(event{leavingEndpoint: address})
 }
 
 // LeavingEndpoints returns the addresses of the endpoints that take no new work.
@@ -122,39 +123,39 @@
 	return nil
 }
 
-// OnChange adds a function that hears of the present members at once and of every change; it must not block.
-func (s *Service) OnChange(heard func([]Member)) {
-	s.watchMu.Lock()
-	s.watchers = append(s.watchers, heard)
-	s.watchMu.Unlock()
-	heard(s.Members())
+// OnChange adds a function that is called with the members now and after every change; it must not block.
+func (s *Service) OnChange(notify func([]Member)) {
+	s.subscribersMu.Lock()
+	s.subscribers = append(s.subscribers, notify)
+	s.subscribersMu.Unlock()
+	notify(s.Members())
 }
 
-// Leave tells the fleet that this node takes no new duties.
+// Leave tells the fleet that this node is leaving and takes on nothing new.
 func (s *Service) Leave(ctx context.Context) {
-	told := make(chan struct{})
-	if !s.inbox.Offer(event{leave: told}) {
+	done := make(chan struct{})
+	if !s.inbox.Offer(event{leaveDone: done}) {
 		return
 	}
 	select {
-	case <-told:
+	case <-done:
 	case <-ctx.Done():
 	}
 }
 
-// Start begins probing and polling.
+// Start starts probing and polling.
 func (s *Service) Start(ctx context.Context) error {
-	s.duties.Begin(ctx, s.run, s.poll)
+	s.goroutines.Begin(ctx, s.run, s.poll)
 	return nil
 }
 
 // Stop ends both goroutines.
 func (s *Service) Stop(context.Context) error {
-	s.duties.End()
+	s.goroutines.End()
 	return nil
 }
 
-// Dump returns the members and what the service counted.
+// Dump returns the members and the counters of the service.
 func (s *Service) Dump() any {
 	return struct {
 		Members []Member        `json:"members"`
@@ -165,62 +166,62 @@
 }
 
 func (s *Service) run(ctx context.Context) {
-	tick := time.NewTicker(TickEvery)
-	defer tick.Stop()
-	wake := time.NewTimer(TickEvery)
-	defer wake.Stop()
-	greet := time.NewTicker(GreetEvery)
-	defer greet.Stop()
+	ticker := time.NewTicker(TickEvery)
+	defer ticker.Stop()
+	wakeTimer := time.NewTimer(TickEvery)
+	defer wakeTimer.Stop()
+	seedTicker := time.NewTicker(GreetEvery)
+	defer seedTicker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 			s.send(s.view.Tick(time.Now()))
-		case <-wake.C:
+		case <-wakeTimer.C:
 			s.send(s.view.Flush(time.Now()))
-		case <-greet.C:
+		case <-seedTicker.C:
 			if !s.view.IsAlone() {
-				greet.Stop()
+				seedTicker.Stop()
 			}
 			s.send(s.view.Greet())
 		case e := <-s.inbox.Ready():
 			s.handle(e)
 		}
-		s.publishWhenDue(time.Now())
-		s.wakeWhenDue(time.Now(), wake)
+		s.publishIfDue(time.Now())
+		s.resetWakeTimer(time.Now(), wakeTimer)
 	}
 }
 
-// publishWhenDue tells of a change at once, or later when one was told just now.
-func (s *Service) publishWhenDue(now time.Time) {
-	if s.version.Load() == s.view.Version() || now.Sub(s.published) < publishGap {
+// publishIfDue publishes a change of the view, at most once per minPublishInterval.
+func (s *Service) publishIfDue(now time.Time) {
+	if s.version.Load() == s.view.Version() || now.Sub(s.publishedAt) < minPublishInterval {
 		return
 	}
-	s.published = now
+	s.publishedAt = now
 	s.publish()
 }
 
-// wakeWhenDue sets the timer for the next round of news and the next change to tell; without either the tick is soon enough.
-func (s *Service) wakeWhenDue(now time.Time, wake *time.Timer) {
+// resetWakeTimer sets the timer for the next flush of updates or the next publication, at the latest one tick from now.
+func (s *Service) resetWakeTimer(now time.Time, timer *time.Timer) {
 	next := now.Add(TickEvery)
-	if due, waiting := s.view.NewsDue(); waiting && due.Before(next) {
+	if due, pending := s.view.NewsDue(); pending && due.Before(next) {
 		next = due
 	}
-	if due := s.published.Add(publishGap); s.version.Load() != s.view.Version() && due.Before(next) {
+	if due := s.publishedAt.Add(minPublishInterval); s.version.Load() != s.view.Version() && due.Before(next) {
 		next = due
 	}
-	wake.Reset(next.Sub(now))
+	timer.Reset(next.Sub(now))
 }
 
 func (s *Service) handle(e event) {
 	switch {
-	case e.leave != nil:
+	case e.leaveDone != nil:
 		s.send(s.view.Leave(time.Now()))
-		close(e.leave)
-	case e.leaves != "":
-		news := EndpointNews{Endpoint: e.leaves, UntilMs: time.Now().Add(leavingFor).UnixMilli()}
-		s.send(s.view.SpreadEndpoint(time.Now(), "", news))
+		close(e.leaveDone)
+	case e.leavingEndpoint != "":
+		message := EndpointNews{Endpoint: e.leavingEndpoint, UntilMs: time.Now().Add(leavingTTL).UnixMilli()}
+		s.send(s.view.SpreadEndpoint(time.Now(), "", message))
 	case e.seeds != nil:
 		s.view.SetSeeds(e.seeds)
 		s.send(s.view.Greet())
@@ -231,12 +232,12 @@
 
 func (s *Service) send(out []Envelope) {
 	for _, e := range out {
-		// A full ring or a stopped mesh loses a membership message, which the next tick repeats.
+		// The next ticks make up for a message lost to a full ring or a stopped mesh.
 		_ = s.mesh.Send(e.To, kindOf(e.Message), e.Message)
 	}
 }
 
-// publish makes the new view visible to readers and tells those who watch it.
+// publish makes the new view visible to callers and notifies the subscribers.
 func (s *Service) publish() {
 	members := s.view.Members()
 	if before := s.members.Load(); before != nil {
@@ -247,11 +248,11 @@
 	s.leaving.Store(&leaving)
 	s.version.Store(s.view.Version())
 	s.deaths.Store(s.view.Deaths())
-	s.watchMu.Lock()
-	watchers := s.watchers
-	s.watchMu.Unlock()
-	for _, heard := range watchers {
-		heard(members)
+	s.subscribersMu.Lock()
+	subscribers := s.subscribers
+	s.subscribersMu.Unlock()
+	for _, notify := range subscribers {
+		notify(members)
 	}
 }
 
@@ -263,12 +264,12 @@
 	ctx := context.Background()
 	var alive []string
 	for _, m := range after {
-		old, ok := known[m.Name]
+		previous, ok := known[m.Name]
 		delete(known, m.Name)
 		switch {
-		case m.State == Leaving && old.State != Leaving:
+		case m.State == Leaving && previous.State != Leaving:
 			chiveevent.MemberLeaving.Log(ctx, s.logger, slog.String("member", m.Name))
-		case !ok || old.Incarnation != m.Incarnation:
+		case !ok || previous.Incarnation != m.Incarnation:
 			alive = append(alive, m.Name)
 		}
 	}
@@ -278,9 +279,9 @@
 	}
 }
 
-// logAlive writes one line a member, or one line for all when many come at once.
+// logAlive writes one line per member, or one line for all if many appear at once.
 func (s *Service) logAlive(ctx context.Context, alive []string) {
-	if len(alive) > linesAtOnce {
+	if len(alive) > maxAliveLines {
 		chiveevent.MemberAlive.Log(ctx, s.logger, slog.Int("count", len(alive)), slog.Any("members", alive))
 		return
 	}
@@ -292,27 +293,27 @@
 func (s *Service) poll(ctx context.Context) {
 	failing := false
 	for {
-		pause, err := s.pollOnce(ctx)
+		interval, err := s.pollOnce(ctx)
 		if err != nil && !failing && ctx.Err() == nil {
 			chiveevent.VMListDown.Log(ctx, s.logger, slog.String("error", err.Error()))
 		}
 		failing = err != nil
 		select {
-		case <-time.After(pause):
+		case <-time.After(interval):
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// pause spaces the polls by the size of the list: 330 nodes that each fetched a list of a thousand VMs every two seconds
-// would spend more on it than on all other control, and what one node learns of an endpoint it passes on anyway.
-func (s *Service) pause(listed int) time.Duration {
-	bySize := time.Duration(listed*listEntry) * time.Second / listBytesPer
+// pollInterval grows with the size of the list: if 330 nodes each fetched a list of a thousand VMs every two seconds,
+// that would cost more than all other control traffic, and what one node learns of an endpoint it passes on anyway.
+func (s *Service) pollInterval(vms int) time.Duration {
+	bySize := time.Duration(vms*listBytesPerVM) * time.Second / listBytesPerSecond
 	if len(s.Members()) <= 1 {
-		return listEvery
+		return listInterval
 	}
-	return max(listEvery, bySize)
+	return max(listInterval, bySize)
 }
 
 func (s *Service) pollOnce(ctx context.Context) (time.Duration, error) {
@@ -320,7 +321,7 @@
 	defer cancel()
 	vms, err := s.lister.VMs(ctx)
 	if err != nil {
-		return listEvery, err
+		return listInterval, err
 	}
 	seeds := []Member{}
 	var leaving []string
@@ -336,5 +337,5 @@
 		s.EndpointLeaves(address)
 	}
 	s.inbox.Offer(event{seeds: seeds})
-	return s.pause(len(vms)), nil
+	return s.pollInterval(len(vms)), nil
 }
--- a/chivemember/view.go
+++ b/chivemember/view.go
@@ -6,87 +6,96 @@
 )
 
 const (
-	// TickEvery is how often the view expects Tick.
+	// TickEvery is how often Tick is to be called.
 	TickEvery = 500 * time.Millisecond
-	// GreetEvery is how often the view expects Greet while the node knows no other member. Of VMs that start together the seeds may be up a
-	// moment later than the others.
+	// GreetEvery is how often Greet is to be called while the node knows no other member. When VMs start together, the
+	// seeds may be up a moment later than the others.
 	GreetEvery = 100 * time.Millisecond
 
-	// watchedMembers is how many others each node probes: a number that does not grow with the fleet, in which news still crosses it in few steps.
-	watchedMembers = 4
-	// suspectAfter is two probes without an answer, after which the other watchers are asked; deadAfter leaves them a second to vouch, and
-	// keeps a dead node out of use within three seconds. vouchFor is how long a watcher's answer counts.
-	suspectAfter = 1100 * time.Millisecond
-	deadAfter    = 2200 * time.Millisecond
-	vouchFor     = 1500 * time.Millisecond
-	// pauseNoticed is the gap between two ticks from which this node was itself paused: more than two ticks that were due.
-	pauseNoticed = 1200 * time.Millisecond
-	// confirmations is how many other watchers of a silent member are asked: all that there are beside this one.
-	confirmations = 3
-	// seedsContacted members that are listed and not known are greeted every contactEvery ticks, two seconds: a partition that healed is noticed
-	// within seconds, for three messages.
-	seedsContacted = 3
-	contactEvery   = 4
-	// introduced is how many members a seed sends to a node that knows nobody; that node then asks one of them for the whole view.
-	introduced = 16
-	// differAfter is how long digests may differ before a whole view is sent: news crosses a fleet of hundreds in a third of that. syncEvery spaces
-	// the whole views to one member.
-	differAfter = 1500 * time.Millisecond
-	syncEvery   = 2 * time.Second
-	// tombstoneFor is how long a dead member is remembered, so that an old update does not bring it back.
-	tombstoneFor = 10 * time.Minute
+	// probeTargetCount is how many other members each node probes: a number that does not grow with the fleet, and with
+	// which updates still reach all nodes in few hops.
+	probeTargetCount = 4
+	// suspectAfter is two probes without an answer; then the other probers of the member are asked. deadAfter gives
+	// them a second to confirm that it is alive, and takes a dead node out of use within three seconds. confirmationTTL
+	// is how long such a confirmation counts.
+	suspectAfter    = 1100 * time.Millisecond
+	deadAfter       = 2200 * time.Millisecond
+	confirmationTTL = 1500 * time.Millisecond
+	// selfPauseThreshold is the gap between two ticks from which this node itself must have been paused: more than two
+	// ticks were due.
+	selfPauseThreshold = 1200 * time.Millisecond
+	// maxConfirmers is how many other probers of a silent member are asked: all there are besides this node.
+	maxConfirmers = 3
+	// contactsPerRound members that are listed but not known, or believed dead, are contacted every contactTicks ticks,
+	// two seconds: a healed partition is noticed within seconds, for two messages to each of three members.
+	contactsPerRound = 3
+	contactTicks     = 4
+	// introducedMembers is how many members a seed sends to a node that knows no other; that node then requests the
+	// whole view from one of them.
+	introducedMembers = 16
+	// digestMismatchTimeout is how long digests may differ before a whole view is sent: updates spread through a fleet
+	// of hundreds in a third of that. minSyncInterval is the least time between two whole views to one member.
+	digestMismatchTimeout = 1500 * time.Millisecond
+	minSyncInterval       = 2 * time.Second
+	// tombstoneTTL is how long a dead member is remembered, so that an old update does not bring it back.
+	tombstoneTTL = 10 * time.Minute
 
-	// endpointNewsGap is by how much an endpoint's leaving has to be extended to be passed on again.
-	endpointNewsGap = 10 * time.Second
+	// minLeavingExtension is by how much the time for which an endpoint leaves has to be extended to be passed on
+	// again.
+	minLeavingExtension = 10 * time.Second
 
-	// newsGap is the least time between two rounds of news from one node. Without it a node that hears of n others in a moment, as in the cold
-	// start of a fleet, sends n messages to each neighbour and places its members n times: at 300 nodes 1,192 messages received by the middle
-	// node and 146 placements, with it 128 and 8 (on virtual time). A first update goes out at once, so a single death is known no later for it.
-	newsGap = 50 * time.Millisecond
+	// minUpdateInterval is the least time between two rounds of updates from one node. Without it, a node that hears of
+	// n others in a moment, as in the cold start of a fleet, sends n messages to each neighbour and rebuilds its ring n
+	// times. At 300 nodes the median node then receives 1,192 messages and rebuilds its ring 146 times, with it 128 and
+	// 8 (virtual time). The first update is sent at once, so a single death is known no later.
+	minUpdateInterval = 50 * time.Millisecond
 
-	// massLossDeaths found by this node within massLossFor are the loss of many at once; each death then adds extraPerDeath members to those
-	// that it watches, at most extraMost.
-	massLossDeaths = 2
-	massLossFor    = 10 * time.Second
-	extraPerDeath  = 4
-	extraMost      = 64
-	// The death of massLossPercent of the members, and of massLossLeast at least, within massLossFor is a mass loss too, whichever nodes found it.
-	// Each node then watches extraInMassLoss more of the members that follow it on the ring, since few of its neighbours may be alive.
-	massLossPercent = 5
-	massLossLeast   = 8
-	extraInMassLoss = 16
+	// massLossOwnDeaths deaths found by this node within massLossWindow count as a mass loss, in which new probe
+	// targets are suspect at once. Each death that this node finds adds extraTargetsPerDeath members to those that it
+	// probes, at most maxExtraTargets.
+	massLossOwnDeaths    = 2
+	massLossWindow       = 10 * time.Second
+	extraTargetsPerDeath = 4
+	maxExtraTargets      = 64
+	// The death of more than massLossPercent of the members, and of more than massLossMinDeaths, within massLossWindow
+	// is a mass loss too, whichever nodes found it. Each node then probes massLossExtraTargets more of the members that
+	// follow it on the ring, since few of its neighbours may be alive.
+	massLossPercent      = 5
+	massLossMinDeaths    = 8
+	massLossExtraTargets = 16
 )
 
-// View is one node's knowledge of the fleet.
+// View is one node's view of the fleet. It is used by one goroutine.
 type View struct {
-	self     Member
-	entries  map[string]*entry
-	ring     []string
-	watched  []string
-	watchers []string
-	seeds    []Member
-	leaving  map[string]int64
-	changed  time.Time
-	lastTick time.Time
-	ticks    int
-	contact  int
-	// introductions counts the whole views that this node has asked for on the introduction of a seed.
-	introductions int
-	version       uint64
-	deaths        int64
-	digest        uint64
-	// recent are the times of deaths that this node found, reported of those that others found, within massLossFor.
-	recent   []time.Time
-	reported []time.Time
-	// moved tells that members came or went since they were last placed on the ring.
-	moved  bool
-	placed int64
-	// unsent is news that waits for the next round, which may begin newsGap after sent.
-	unsent []update
-	sent   time.Time
+	self          Member
+	entries       map[string]*entry
+	ring          []string
+	probeTargets  []string
+	probers       []string
+	seeds         []Member
+	leavingUntil  map[string]int64
+	changedAt     time.Time
+	lastTick      time.Time
+	tickCount     int
+	contactOffset int
+	// introductionSyncs counts the whole views that this node has requested from members introduced by a seed.
+	introductionSyncs int
+	version           uint64
+	deaths            int64
+	digest            uint64
+	// ownDeaths are the times of the deaths that this node found within massLossWindow, reportedDeaths of those that
+	// others found.
+	ownDeaths      []time.Time
+	reportedDeaths []time.Time
+	// ringOutdated is true if the members have changed since the ring was built.
+	ringOutdated bool
+	ringBuilds   int64
+	// pendingUpdates are sent with the next round, at the earliest minUpdateInterval after flushedAt.
+	pendingUpdates []update
+	flushedAt      time.Time
 }
 
-// An update is what one member says of another, with the peer that sent it, which need not be sent it back.
+// An update is a changed member with the peer that reported it, to which it is not sent back.
 type update struct {
 	member Member
 	from   string
@@ -94,39 +103,39 @@
 
 // An entry is what is known of one other member.
 type entry struct {
-	member  Member
-	key     string
-	heard   time.Time
-	vouched time.Time
-	differs time.Time
-	synced  time.Time
-	died    time.Time
+	member       Member
+	key          string
+	lastHeard    time.Time
+	confirmedAt  time.Time
+	differsSince time.Time
+	syncedAt     time.Time
+	diedAt       time.Time
 }
 
 // NewView returns the view of a node that knows only itself.
 func NewView(self Member, now time.Time) *View {
 	self.State = Alive
 	v := &View{
-		self: self, entries: make(map[string]*entry), leaving: make(map[string]int64), changed: now, lastTick: now,
-		digest: self.digest(), moved: true,
+		self: self, entries: make(map[string]*entry), leavingUntil: make(map[string]int64), changedAt: now, lastTick: now,
+		digest: self.digest(), ringOutdated: true,
 	}
-	v.arrange(now)
+	v.rebuildRing(now)
 	return v
 }
 
-// Self returns what the node says of itself.
+// Self returns this node as a member.
 func (v *View) Self() Member { return v.self }
 
-// Version rises with every change of the view.
+// Version increases with every change of the view.
 func (v *View) Version() uint64 { return v.version }
 
 // Deaths returns how many members this node itself declared dead.
 func (v *View) Deaths() int64 { return v.deaths }
 
-// Placed returns how many times the members were placed on the ring, since the start.
-func (v *View) Placed() int64 { return v.placed }
+// Placed returns how many times the ring was built since the start.
+func (v *View) Placed() int64 { return v.ringBuilds }
 
-// Members returns every member that is not dead, this node included, by name.
+// Members returns every member that is not dead, this node included, sorted by name.
 func (v *View) Members() []Member {
 	members := []Member{v.self}
 	for _, e := range v.entries {
@@ -138,48 +147,49 @@
 	return members
 }
 
-// SetSeeds takes the platform's list of entry VMs; it lags, so it says who may exist and not who answers.
+// SetSeeds sets the platform's list of entry VMs. The list lags behind, so it tells which nodes may exist, not which
+// are alive.
 func (v *View) SetSeeds(seeds []Member) {
 	v.seeds = seeds
 }
 
-// Leave makes the node say that it is leaving.
+// Leave marks this node as leaving and returns the messages that tell the others.
 func (v *View) Leave(now time.Time) []Envelope {
 	leaving := v.self
 	leaving.State = Leaving
 	v.setSelf(leaving)
-	v.touch(now)
-	return v.spread(now, []Member{v.self}, "")
+	v.markChanged(now)
+	return v.queueUpdates(now, []Member{v.self}, "")
 }
 
-// ---------------------------------------------------------------- time
+// ---------------------------------------------------------------- periodic work
 
-// Tick probes the watched members, suspects the silent ones and contacts those that may be back.
+// Tick probes this node's targets, suspects the silent ones and contacts members that may be back.
 func (v *View) Tick(now time.Time) []Envelope {
-	v.forgivePause(now)
-	v.arrange(now)
+	v.resetAfterPause(now)
+	v.rebuildRing(now)
 	var out []Envelope
-	for _, name := range v.watched {
-		out = append(out, v.watch(now, v.entries[name])...)
+	for _, name := range v.probeTargets {
+		out = append(out, v.probe(now, v.entries[name])...)
 	}
-	if v.ticks%contactEvery == 0 || len(v.ring) == 1 {
+	if v.tickCount%contactTicks == 0 || len(v.ring) == 1 {
 		out = append(out, v.contactAbsent()...)
 	}
-	v.ticks++
-	v.purge(now)
+	v.tickCount++
+	v.purgeTombstones(now)
 	return append(out, v.Flush(now)...)
 }
 
-// forgivePause keeps a node that was itself paused from taking everybody else's silence for death:
-// nothing was heard because nothing was read.
-func (v *View) forgivePause(now time.Time) {
+// resetAfterPause keeps a node that was itself paused from declaring the others dead: it heard nothing because it read
+// nothing.
+func (v *View) resetAfterPause(now time.Time) {
 	gap := now.Sub(v.lastTick)
 	v.lastTick = now
-	if gap < pauseNoticed {
+	if gap < selfPauseThreshold {
 		return
 	}
 	for _, e := range v.entries {
-		e.heard = now
+		e.lastHeard = now
 	}
 }
 
@@ -201,27 +211,27 @@
 	return true
 }
 
-func (v *View) watch(now time.Time, e *entry) []Envelope {
+func (v *View) probe(now time.Time, e *entry) []Envelope {
 	out := []Envelope{{To: e.member.Address, Message: Probe{Name: v.self.Name, Incarnation: v.self.Incarnation, Digest: v.digest}}}
-	silence := now.Sub(e.heard)
+	silence := now.Sub(e.lastHeard)
 	if silence < suspectAfter {
 		return out
 	}
-	if silence >= deadAfter && now.Sub(e.vouched) > vouchFor {
+	if silence >= deadAfter && now.Sub(e.confirmedAt) > confirmationTTL {
 		return append(out, v.declareDead(now, e)...)
 	}
-	return append(out, v.askWatchers(e)...)
+	return append(out, v.requestConfirmations(e)...)
 }
 
-// askWatchers asks the other watchers of a silent member, since the way there may be broken for this node alone.
-func (v *View) askWatchers(e *entry) []Envelope {
+// requestConfirmations asks the other probers of a silent member, since only the path from this node may be broken.
+func (v *View) requestConfirmations(e *entry) []Envelope {
 	var out []Envelope
-	place := sort.SearchStrings(v.ring, e.key)
-	for _, distance := range distances(len(v.ring)) {
-		name := ringName(v.ring[wrap(place-distance, len(v.ring))])
-		watcher, ok := v.entries[name]
-		if ok && name != e.member.Name && len(out) < confirmations {
-			out = append(out, Envelope{To: watcher.member.Address, Message: Confirm{Name: e.member.Name}})
+	index := sort.SearchStrings(v.ring, e.key)
+	for _, distance := range ringDistances(len(v.ring)) {
+		name := ringName(v.ring[wrap(index-distance, len(v.ring))])
+		prober, ok := v.entries[name]
+		if ok && name != e.member.Name && len(out) < maxConfirmers {
+			out = append(out, Envelope{To: prober.member.Address, Message: Confirm{Name: e.member.Name}})
 		}
 	}
 	return out
@@ -231,32 +241,32 @@
 	dead := e.member
 	dead.State = Dead
 	v.set(e, dead)
-	e.died = now
+	e.diedAt = now
 	v.deaths++
-	v.recent = append(v.recent, now)
-	v.touch(now)
-	return v.spread(now, []Member{dead}, "")
+	v.ownDeaths = append(v.ownDeaths, now)
+	v.markChanged(now)
+	return v.queueUpdates(now, []Member{dead}, "")
 }
 
-// contactAbsent greets members that are listed but unknown, or believed dead: after a partition heals nobody would
-// otherwise speak first.
+// contactAbsent contacts members that are listed but unknown, or believed dead: after a partition heals, no node would
+// otherwise send to the other side first.
 func (v *View) contactAbsent() []Envelope {
 	if len(v.ring) == 1 {
-		v.introductions = 0
+		v.introductionSyncs = 0
 	}
-	absent := v.absent()
+	absent := v.absentMembers()
 	var out []Envelope
-	for i := 0; i < min(seedsContacted, len(absent)); i++ {
-		to := absent[(v.contact+i)%len(absent)].Address
+	for i := 0; i < min(contactsPerRound, len(absent)); i++ {
+		to := absent[(v.contactOffset+i)%len(absent)].Address
 		out = append(out,
 			Envelope{To: to, Message: News{Members: []Member{v.self}}},
 			Envelope{To: to, Message: Probe{Name: v.self.Name, Incarnation: v.self.Incarnation, Digest: v.digest}})
 	}
-	v.contact += seedsContacted
+	v.contactOffset += contactsPerRound
 	return out
 }
 
-// setSelf replaces what this node says of itself.
+// setSelf replaces the description of this node.
 func (v *View) setSelf(m Member) {
 	v.digest ^= v.self.digest() ^ m.digest()
 	v.self = m
@@ -275,7 +285,7 @@
 	}
 }
 
-func (v *View) absent() []Member {
+func (v *View) absentMembers() []Member {
 	var absent []Member
 	listed := make(map[string]bool, len(v.seeds))
 	for _, seed := range v.seeds {
@@ -294,9 +304,9 @@
 	return absent
 }
 
-func (v *View) purge(now time.Time) {
+func (v *View) purgeTombstones(now time.Time) {
 	for name, e := range v.entries {
-		if e.member.State == Dead && now.Sub(e.died) > tombstoneFor {
+		if e.member.State == Dead && now.Sub(e.diedAt) > tombstoneTTL {
 			delete(v.entries, name)
 		}
 	}
--- a/chivemember/view_ring.go
+++ b/chivemember/view_ring.go
@@ -9,19 +9,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-func (v *View) touch(now time.Time) {
-	v.changed = now
+func (v *View) markChanged(now time.Time) {
+	v.changedAt = now
 	v.version++
-	v.moved = true
+	v.ringOutdated = true
 }
 
-// arrange places the members on a ring of name hashes and finds whom this node watches and who watches it, when members have come or gone.
-func (v *View) arrange(now time.Time) {
-	if !v.moved {
+// rebuildRing sorts the live members into a ring by the hash of their names and determines whom this node probes and
+// who probes it, if the members have changed.
+func (v *View) rebuildRing(now time.Time) {
+	if !v.ringOutdated {
 		return
 	}
-	v.moved = false
-	v.placed++
+	v.ringOutdated = false
+	v.ringBuilds++
 	v.ring = v.ring[:0]
 	v.ring = append(v.ring, ringKey(v.self.Name))
 	for _, e := range v.entries {
@@ -30,124 +31,131 @@
 		}
 	}
 	sort.Strings(v.ring)
-	place := sort.SearchStrings(v.ring, ringKey(v.self.Name))
-	before := make(map[string]bool, len(v.watched))
-	for _, name := range v.watched {
-		before[name] = true
-	}
-	v.watched, v.watchers = nil, nil
-	for _, distance := range distances(len(v.ring)) {
-		v.watched = append(v.watched, ringName(v.ring[wrap(place+distance, len(v.ring))]))
-		v.watchers = append(v.watchers, ringName(v.ring[wrap(place-distance, len(v.ring))]))
-	}
-	v.watchExtra(now, place)
-	for _, name := range v.watched {
-		if !before[name] {
-			v.entries[name].heard = v.grace(now)
+	index := sort.SearchStrings(v.ring, ringKey(v.self.Name))
+	previous := make(map[string]bool, len(v.probeTargets))
+	for _, name := range v.probeTargets {
+		previous[name] = true
+	}
+	v.probeTargets, v.probers = nil, nil
+	for _, distance := range ringDistances(len(v.ring)) {
+		v.probeTargets = append(v.probeTargets, ringName(v.ring[wrap(index+distance, len(v.ring))]))
+		v.probers = append(v.probers, ringName(v.ring[wrap(index-distance, len(v.ring))]))
+	}
+	v.addExtraTargets(now, index)
+	for _, name := range v.probeTargets {
+		if !previous[name] {
+			v.entries[name].lastHeard = v.initialLastHeard(now)
 		}
 	}
 }
 
-// watchExtra widens the watch while this node itself finds members dead.
+// addExtraTargets adds probe targets after this node itself found members dead, and during a mass loss.
 //
-// A node cut off together with few others, or none, has nobody to tell it who else is gone. With four at a time it
-// would take a fleet of 330 more than two minutes to see it; each death found adds to the next round.
-func (v *View) watchExtra(now time.Time, place int) {
-	v.recent, v.reported = since(v.recent, now.Add(-massLossFor)), since(v.reported, now.Add(-massLossFor))
-	extra := min(len(v.recent)*extraPerDeath, extraMost)
+// A node that is cut off alone or with few others hears from nobody who else is gone. With four targets at a time it
+// would take more than two minutes to see that in a fleet of 330; so each death found adds targets to the next round.
+func (v *View) addExtraTargets(now time.Time, index int) {
+	v.ownDeaths, v.reportedDeaths = dropBefore(v.ownDeaths, now.Add(-massLossWindow)), dropBefore(v.reportedDeaths, now.Add(-massLossWindow))
+	extra := min(len(v.ownDeaths)*extraTargetsPerDeath, maxExtraTargets)
 	if v.isMassLoss() {
-		extra = max(extra, extraInMassLoss)
+		extra = max(extra, massLossExtraTargets)
 	}
-	known := make(map[string]bool, len(v.watched))
-	for _, name := range v.watched {
+	known := make(map[string]bool, len(v.probeTargets))
+	for _, name := range v.probeTargets {
 		known[name] = true
 	}
 	for distance := 1; distance < len(v.ring) && extra > 0; distance++ {
-		name := ringName(v.ring[wrap(place+distance, len(v.ring))])
+		name := ringName(v.ring[wrap(index+distance, len(v.ring))])
 		if !known[name] {
-			v.watched = append(v.watched, name)
+			v.probeTargets = append(v.probeTargets, name)
 			extra--
 		}
 	}
 }
 
-// since returns the times that are not before a given one; times is in ascending order.
-func since(times []time.Time, from time.Time) []time.Time {
+// dropBefore returns the times that are not before a given one; times is in ascending order.
+func dropBefore(times []time.Time, from time.Time) []time.Time {
 	for len(times) > 0 && times[0].Before(from) {
 		times = times[1:]
 	}
 	return times
 }
 
-// isMassLoss reports whether many members died recently, whichever nodes found it. The next ones on the ring are then likely to be dead too.
+// isMassLoss reports whether many members died recently, whichever nodes found it. The next members on the ring are
+// then likely to be dead too.
 func (v *View) isMassLoss() bool {
-	return len(v.recent)+len(v.reported) > max(massLossLeast, len(v.ring)*massLossPercent/100)
+	return len(v.ownDeaths)+len(v.reportedDeaths) > max(massLossMinDeaths, len(v.ring)*massLossPercent/100)
 }
 
-// grace is when a newly watched member counts as last heard: now, or earlier in the middle of a mass loss.
-func (v *View) grace(now time.Time) time.Time {
-	if len(v.recent) >= massLossDeaths || v.isMassLoss() {
+// initialLastHeard returns when a new probe target counts as last heard: now, or during a mass loss so long ago that it
+// is suspect at once.
+func (v *View) initialLastHeard(now time.Time) time.Time {
+	if len(v.ownDeaths) >= massLossOwnDeaths || v.isMassLoss() {
 		return now.Add(-suspectAfter)
 	}
 	return now
 }
 
-// distances spaces the watched members so that news crosses n members in few hops: 1, n^1/4, n^2/4, n^3/4.
-func distances(n int) []int {
-	var spaced []int
+// ringDistances returns the distances to the probe targets on a ring of n members: 1, n^1/4, n^2/4, n^3/4, so that
+// updates reach all members in few hops.
+func ringDistances(n int) []int {
+	var distances []int
 	last := 0
-	for i := range watchedMembers {
-		distance := max(last+1, int(math.Round(math.Pow(float64(n), float64(i)/watchedMembers))))
+	for i := range probeTargetCount {
+		distance := max(last+1, int(math.Round(math.Pow(float64(n), float64(i)/probeTargetCount))))
 		if distance >= n {
 			break
 		}
-		spaced = append(spaced, distance)
+		distances = append(distances, distance)
 		last = distance
 	}
-	return spaced
+	return distances
 }
 
-// spread passes updates on: at once, or with the next round of news when one went out just now.
-func (v *View) spread(now time.Time, members []Member, from string) []Envelope {
+// queueUpdates queues updates for the neighbours and returns the messages that are due: at once, or with the next round
+// if one was sent just now.
+func (v *View) queueUpdates(now time.Time, members []Member, from string) []Envelope {
 	for _, m := range members {
-		v.unsent = append(v.unsent, update{m, from})
+		v.pendingUpdates = append(v.pendingUpdates, update{m, from})
 	}
 	return v.Flush(now)
 }
 
-// NewsDue returns when Flush has something to send; false while there is no news.
-func (v *View) NewsDue() (time.Time, bool) { return v.sent.Add(newsGap), len(v.unsent) > 0 }
+// NewsDue returns when Flush has updates to send; false if there are none.
+func (v *View) NewsDue() (time.Time, bool) {
+	return v.flushedAt.Add(minUpdateInterval), len(v.pendingUpdates) > 0
+}
 
-// Flush returns the news that is due, one message for each neighbour.
+// Flush returns the updates that are due, in one message per neighbour.
 func (v *View) Flush(now time.Time) []Envelope {
-	if len(v.unsent) == 0 || now.Sub(v.sent) < newsGap {
+	if len(v.pendingUpdates) == 0 || now.Sub(v.flushedAt) < minUpdateInterval {
 		return nil
 	}
 	var out []Envelope
-	for _, address := range v.neighbours(now) {
+	for _, address := range v.neighbourAddresses(now) {
 		var members []Member
-		for _, w := range v.unsent {
-			if w.from != address {
-				members = append(members, w.member)
+		for _, u := range v.pendingUpdates {
+			if u.from != address {
+				members = append(members, u.member)
 			}
 		}
 		if len(members) > 0 {
 			out = append(out, Envelope{To: address, Message: News{Members: members}})
 		}
 	}
-	v.unsent = nil
-	v.sent = now
+	v.pendingUpdates = nil
+	v.flushedAt = now
 	return out
 }
 
-// neighbourNames returns the members that this node watches and those that watch it, without the ones it watches only during a mass loss.
+// neighbourNames returns the members that this node probes and those that probe it, without the extra targets of a mass
+// loss.
 func (v *View) neighbourNames() []string {
-	return slices.Concat(v.watched[:min(len(v.watched), watchedMembers)], v.watchers)
+	return slices.Concat(v.probeTargets[:min(len(v.probeTargets), probeTargetCount)], v.probers)
 }
 
-// neighbours returns the addresses of the members with which this node exchanges updates.
-func (v *View) neighbours(now time.Time) []string {
-	v.arrange(now)
+// neighbourAddresses returns the addresses of the members with which this node exchanges updates.
+func (v *View) neighbourAddresses(now time.Time) []string {
+	v.rebuildRing(now)
 	var addresses []string
 	seen := make(map[string]bool)
 	for _, name := range v.neighbourNames() {
@@ -161,22 +169,22 @@
 	return addresses
 }
 
-// around returns the members that follow a name on the ring, at most introduced of them.
-func (v *View) around(name string) []Member {
-	place := sort.SearchStrings(v.ring, ringKey(name))
-	var near []Member
-	for distance := 1; len(near) < introduced && distance < len(v.ring); distance++ {
-		e, ok := v.entries[ringName(v.ring[wrap(place+distance, len(v.ring))])]
+// successors returns the members that follow a name on the ring, at most introducedMembers of them.
+func (v *View) successors(name string) []Member {
+	index := sort.SearchStrings(v.ring, ringKey(name))
+	var successors []Member
+	for distance := 1; len(successors) < introducedMembers && distance < len(v.ring); distance++ {
+		e, ok := v.entries[ringName(v.ring[wrap(index+distance, len(v.ring))])]
 		if ok && e.member.Name != name {
-			near = append(near, e.member)
+			successors = append(successors, e.member)
 		}
 	}
-	return near
+	return successors
 }
 
 const ringHashBytes = 8
 
-// ringKey prefixes a name with its hash, so that sorting keys sorts by hash.
+// ringKey prefixes a name with its hash, so that sorting by key sorts by hash.
 func ringKey(name string) string {
 	hash := xxhash.Sum64String(name)
 	key := make([]byte, ringHashBytes, ringHashBytes+len(name))
@@ -188,6 +196,6 @@
 
 func ringName(key string) string { return key[ringHashBytes:] }
 
-func wrap(place, n int) int {
-	return ((place % n) + n) % n
+func wrap(index, n int) int {
+	return ((index % n) + n) % n
 }
--- a/chivemember/view_test.go
+++ b/chivemember/view_test.go
@@ -10,42 +10,44 @@
 	"chivedrift/chivemember"
 )
 
-// fleet drives many views over a fake network that loses and delays messages, on virtual time.
+// fleet runs many views on virtual time, over a simulated network that loses messages and holds back those to paused
+// nodes.
 type fleet struct {
-	now      time.Time
-	random   *rand.Rand
-	views    map[string]*chivemember.View
-	names    []string
-	paused   map[string]time.Time
-	gone     map[string]bool
-	side     map[string]bool
-	loss     float64
-	queue    []parcel
-	messages int
-	began    time.Time
-	// received and told count the messages, and the updates on members in them, by receiver; sent counts the updates by sender.
-	received map[string]int
-	told     map[string]int
-	sent     map[string]int
+	now         time.Time
+	random      *rand.Rand
+	views       map[string]*chivemember.View
+	names       []string
+	pausedUntil map[string]time.Time
+	stopped     map[string]bool
+	partition   map[string]bool
+	loss        float64
+	queue       []packet
+	messages    int
+	startedAt   time.Time
+	// messagesReceived and updatesReceived count the messages and the updates on members in them, by receiver;
+	// updatesSent counts the updates by sender.
+	messagesReceived map[string]int
+	updatesReceived  map[string]int
+	updatesSent      map[string]int
 }
 
-type parcel struct {
+type packet struct {
 	at       time.Time
 	from, to string
 	message  any
 }
 
 const (
-	delivery  = time.Millisecond
-	fleetStep = 50 * time.Millisecond
+	networkDelay = time.Millisecond
+	timeStep     = 50 * time.Millisecond
 )
 
 func newFleet(size int, seed uint64) *fleet {
 	f := &fleet{
 		now: time.Unix(1_700_000_000, 0), random: rand.New(rand.NewPCG(seed, 1)), views: make(map[string]*chivemember.View),
-		paused: make(map[string]time.Time), gone: make(map[string]bool), received: make(map[string]int), told: make(map[string]int), sent: make(map[string]int),
+		pausedUntil: make(map[string]time.Time), stopped: make(map[string]bool), messagesReceived: make(map[string]int), updatesReceived: make(map[string]int), updatesSent: make(map[string]int),
 	}
-	f.began = f.now
+	f.startedAt = f.now
 	var seeds []chivemember.Member
 	for i := range size {
 		name := fmt.Sprintf("n%03d", i)
@@ -59,32 +61,32 @@
 	return f
 }
 
-func (f *fleet) post(from string, out []chivemember.Envelope) {
+func (f *fleet) send(from string, out []chivemember.Envelope) {
 	for _, e := range out {
 		f.messages++
-		f.sent[from] += updatesIn(e.Message)
-		crosses := f.side != nil && f.side[from] != f.side[e.To]
-		if !crosses && f.random.Float64() >= f.loss {
-			f.queue = append(f.queue, parcel{f.now.Add(delivery), from, e.To, e.Message})
+		f.updatesSent[from] += updateCount(e.Message)
+		crossesPartition := f.partition != nil && f.partition[from] != f.partition[e.To]
+		if !crossesPartition && f.random.Float64() >= f.loss {
+			f.queue = append(f.queue, packet{f.now.Add(networkDelay), from, e.To, e.Message})
 		}
 	}
 }
 
-// deliver hands over everything due; a paused node reads it when it wakes, a node that is gone never.
+// deliver delivers the queued messages. A paused node receives them when it resumes, a stopped node never.
 func (f *fleet) deliver() {
 	for len(f.queue) > 0 {
 		due := f.queue
 		f.queue = nil
 		for _, p := range due {
-			if f.gone[p.to] || f.gone[p.from] {
+			if f.stopped[p.to] || f.stopped[p.from] {
 				continue
 			}
-			if f.now.Before(f.paused[p.to]) {
+			if f.now.Before(f.pausedUntil[p.to]) {
 				f.queue = append(f.queue, p)
 				continue
 			}
-			f.count(p)
-			f.post(p.to, f.views[p.to].Receive(f.now, p.from, p.message))
+			f.countReceived(p)
+			f.send(p.to, f.views[p.to].Receive(f.now, p.from, p.message))
 		}
 		if allPaused(f, f.queue) {
 			return
@@ -92,13 +94,13 @@
 	}
 }
 
-func (f *fleet) count(p parcel) {
-	f.received[p.to]++
-	f.told[p.to] += updatesIn(p.message)
+func (f *fleet) countReceived(p packet) {
+	f.messagesReceived[p.to]++
+	f.updatesReceived[p.to] += updateCount(p.message)
 }
 
-// updatesIn returns how many updates on members a message holds.
-func updatesIn(message any) int {
+// updateCount returns how many updates on members a message holds.
+func updateCount(message any) int {
 	switch m := message.(type) {
 	case chivemember.News:
 		return len(m.Members)
@@ -108,80 +110,81 @@
 	return 0
 }
 
-// leastKnown returns how many members the node knows that knows the fewest.
-func (f *fleet) leastKnown() int {
-	least := len(f.names)
+// minKnown returns the smallest number of members that any node knows.
+func (f *fleet) minKnown() int {
+	fewest := len(f.names)
 	for _, name := range f.names {
-		least = min(least, f.known(name))
+		fewest = min(fewest, f.memberCount(name))
 	}
-	return least
+	return fewest
 }
 
-// middleTold and mostTold return how many updates on members the middle and the busiest node received.
-func (f *fleet) middleTold() int { return f.sortedTold()[len(f.names)/2] }
+// medianUpdatesReceived and maxUpdatesReceived return how many updates on members the median and the busiest node
+// received.
+func (f *fleet) medianUpdatesReceived() int { return f.sortedUpdatesReceived()[len(f.names)/2] }
 
-func (f *fleet) mostTold() int { return f.sortedTold()[len(f.names)-1] }
+func (f *fleet) maxUpdatesReceived() int { return f.sortedUpdatesReceived()[len(f.names)-1] }
 
-func (f *fleet) sortedTold() []int {
-	told := make([]int, 0, len(f.names))
+func (f *fleet) sortedUpdatesReceived() []int {
+	counts := make([]int, 0, len(f.names))
 	for _, name := range f.names {
-		told = append(told, f.told[name])
+		counts = append(counts, f.updatesReceived[name])
 	}
-	sort.Ints(told)
-	return told
+	sort.Ints(counts)
+	return counts
 }
 
-func allPaused(f *fleet, queue []parcel) bool {
+func allPaused(f *fleet, queue []packet) bool {
 	for _, p := range queue {
-		if !f.now.Before(f.paused[p.to]) {
+		if !f.now.Before(f.pausedUntil[p.to]) {
 			return false
 		}
 	}
 	return true
 }
 
-// greet has the nodes that know no other greet their seeds.
-func (f *fleet) greet() {
-	if f.now.Sub(f.began)%chivemember.GreetEvery != 0 {
+// contactSeeds lets the nodes that know no other contact their seeds.
+func (f *fleet) contactSeeds() {
+	if f.now.Sub(f.startedAt)%chivemember.GreetEvery != 0 {
 		return
 	}
 	for _, name := range f.names {
-		if !f.gone[name] && !f.now.Before(f.paused[name]) {
-			f.post(name, f.views[name].Greet())
+		if !f.stopped[name] && !f.now.Before(f.pausedUntil[name]) {
+			f.send(name, f.views[name].Greet())
 		}
 	}
 }
 
-// run advances the fleet; each node ticks at its own phase.
-func (f *fleet) run(d time.Duration, each func()) {
+// run advances the fleet; the nodes tick at different phases.
+func (f *fleet) run(d time.Duration, afterStep func()) {
 	end := f.now.Add(d)
 	for f.now.Before(end) {
-		f.now = f.now.Add(fleetStep)
-		phase := int(f.now.UnixMilli()/fleetStep.Milliseconds()) % int(chivemember.TickEvery/fleetStep)
+		f.now = f.now.Add(timeStep)
+		phase := int(f.now.UnixMilli()/timeStep.Milliseconds()) % int(chivemember.TickEvery/timeStep)
 		for i, name := range f.names {
-			if i%int(chivemember.TickEvery/fleetStep) == phase && !f.gone[name] && !f.now.Before(f.paused[name]) {
-				f.post(name, f.views[name].Tick(f.now))
+			if i%int(chivemember.TickEvery/timeStep) == phase && !f.stopped[name] && !f.now.Before(f.pausedUntil[name]) {
+				f.send(name, f.views[name].Tick(f.now))
 			}
 		}
-		f.greet()
+		f.contactSeeds()
 		f.deliver()
 		f.flush()
-		if each != nil {
-			each()
+		if afterStep != nil {
+			afterStep()
 		}
 	}
 }
 
-// flush sends the news that is due; what it brings about is delivered with the next step.
+// flush sends the updates that are due; they are delivered with the next step.
 func (f *fleet) flush() {
 	for _, name := range f.names {
-		if !f.gone[name] && !f.now.Before(f.paused[name]) {
-			f.post(name, f.views[name].Flush(f.now))
+		if !f.stopped[name] && !f.now.Before(f.pausedUntil[name]) {
+			f.send(name, f.views[name].Flush(f.now))
 		}
 	}
 }
 
-func (f *fleet) known(by string) int { return len(f.views[by].Members()) }
+func (f *fleet) memberCount(name string) int { return len(f.views[name].Members()) }
 
 func (f *fleet) deaths() int64 {
 	total := int64(0)
@@ -191,14 +194,14 @@
 	return total
 }
 
-// until runs until a condition holds on every live node and returns how long that took.
-func (f *fleet) until(t *testing.T, limit time.Duration, holds func(name string) bool) time.Duration {
+// runUntil runs the fleet until a condition holds on every live node, and returns how long that took.
+func (f *fleet) runUntil(t *testing.T, limit time.Duration, condition func(name string) bool) time.Duration {
 	t.Helper()
 	started := f.now
 	for f.now.Sub(started) < limit {
 		all := true
 		for _, name := range f.names {
-			if !f.gone[name] && !holds(name) {
+			if !f.stopped[name] && !condition(name) {
 				all = false
 				break
 			}
@@ -206,21 +209,21 @@
 		if all {
 			return f.now.Sub(started)
 		}
-		f.run(fleetStep, nil)
+		f.run(timeStep, nil)
 	}
-	t.Errorf("not on every node within %s", limit)
+	t.Errorf("condition not met on every node within %s", limit)
 	return limit
 }
 
-// Guards against healthy members declared dead because of packet loss or pauses.
-func TestNoFalseDeathInAnHourOfLossAndPauses(t *testing.T) {
+// Guards against live members declared dead because of packet loss or pauses.
+func TestLossAndPausesCauseNoFalseDeaths(t *testing.T) {
 	f := newFleet(24, 1)
 	f.run(10*time.Second, nil)
 	f.loss = 0.05
 	before := f.deaths()
 	f.run(time.Hour, func() {
 		if f.random.IntN(20) == 0 {
-			f.paused[f.names[f.random.IntN(len(f.names))]] = f.now.Add(500 * time.Millisecond)
+			f.pausedUntil[f.names[f.random.IntN(len(f.names))]] = f.now.Add(500 * time.Millisecond)
 		}
 	})
 	if wrong := f.deaths() - before; wrong != 0 {
@@ -229,52 +232,53 @@
 }
 
 // Guards against a dead node that stays in use for more than three seconds.
-func TestDeadNodeIsOutOfUseWithinThreeSeconds(t *testing.T) {
+func TestDeadNodeIsDetectedWithinThreeSeconds(t *testing.T) {
 	for _, size := range []int{8, 64} {
 		worst := time.Duration(0)
 		for seed := range 10 {
 			f := newFleet(size, uint64(seed))
 			f.run(10*time.Second, nil)
-			f.gone[f.names[seed%size]] = true
-			worst = max(worst, f.until(t, 10*time.Second, func(name string) bool { return f.known(name) == size-1 }))
+			f.stopped[f.names[seed%size]] = true
+			worst = max(worst, f.runUntil(t, 10*time.Second, func(name string) bool { return f.memberCount(name) == size-1 }))
 		}
 		if worst > 3*time.Second {
-			t.Errorf("%d nodes: out of use after %s", size, worst)
+			t.Errorf("%d nodes: dead node in use for %s", size, worst)
 		}
-		t.Logf("%d nodes: out of every view after at most %s in 10 runs", size, worst)
+		t.Logf("%d nodes: dead node out of every view after at most %s in 10 runs", size, worst)
 	}
 }
 
-// Guards against routing to a partitioned region for minutes, and partitions that never heal.
-func TestRegionCutIsSeenAndHealed(t *testing.T) {
+// Guards against partitions that go unnoticed for minutes, during which requests are routed to an unreachable region,
+// and against partitions that never heal.
+func TestPartitionIsDetectedAndHeals(t *testing.T) {
 	const size = 64
-	for name, cut := range map[string]int{"half": size / 2, "one node": 1} {
+	for name, cutOff := range map[string]int{"half": size / 2, "one node": 1} {
 		f := newFleet(size, 3)
 		f.run(10*time.Second, nil)
-		side := make(map[string]bool)
-		for _, n := range f.names[:cut] {
-			side[n] = true
+		partition := make(map[string]bool)
+		for _, n := range f.names[:cutOff] {
+			partition[n] = true
 		}
-		took := f.withCut(side, func() time.Duration {
-			return f.until(t, 30*time.Second, func(n string) bool {
-				return f.known(n) == map[bool]int{true: cut, false: size - cut}[side[n]]
+		took := f.withPartition(partition, func() time.Duration {
+			return f.runUntil(t, 30*time.Second, func(n string) bool {
+				return f.memberCount(n) == map[bool]int{true: cutOff, false: size - cutOff}[partition[n]]
 			})
 		})
-		healed := f.until(t, 60*time.Second, func(n string) bool { return f.known(n) == size })
-		t.Logf("%s of %d cut off: seen everywhere after %s, healed after %s", name, size, took, healed)
+		healed := f.runUntil(t, 60*time.Second, func(n string) bool { return f.memberCount(n) == size })
+		t.Logf("%s of %d nodes cut off: detected on every node after %s, healed after %s", name, size, took, healed)
 	}
 }
 
-// withCut drops what crosses between the sides while during runs.
-func (f *fleet) withCut(side map[string]bool, during func() time.Duration) time.Duration {
-	f.queue, f.side = nil, side
-	took := during()
-	f.side = nil
+// withPartition runs a function while messages between the two sides are dropped.
+func (f *fleet) withPartition(partition map[string]bool, run func() time.Duration) time.Duration {
+	f.queue, f.partition = nil, partition
+	took := run()
+	f.partition = nil
 	return took
 }
 
-// TestControlCostIsFlat measures messages a node a second at several sizes.
-func TestControlCostIsFlat(t *testing.T) {
+// Guards against a message rate per node that grows with the fleet.
+func TestMessageRatePerNodeIsBounded(t *testing.T) {
 	var rates []float64
 	for _, size := range []int{8, 32, 128} {
 		f := newFleet(size, 1)
@@ -284,8 +288,8 @@
 		rates = append(rates, float64(f.messages-before)/20/float64(size))
 	}
 	sort.Float64s(rates)
-	t.Logf("messages a node a second at 8, 32 and 128 nodes: %.1f", rates)
+	t.Logf("messages per node and second with 8, 32 and 128 nodes: %.1f", rates)
 	if rates[2] > 1.5*rates[0] {
-		t.Errorf("the cost a node grows with the fleet: %.1f", rates)
+		t.Errorf("the message rate per node grows with the fleet: %.1f", rates)
 	}
 }
