--- a/chivetable/rank.go
+++ b/chivetable/rank.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Rank is the place of a request among the ranks that requests to its pool can have in one configuration.
+// Rank is the position of a request among all priorities that requests to its pool can have in one configuration.
 type Rank struct {
-	// Place counts from 0, the most urgent.
+	// Place is the index from 0, the most urgent.
 	Place int
-	// Of is how many ranks there are; 0 stands for 1.
+	// Of is the number of ranks; 0 counts as 1.
 	Of int
 }
 
-// Depth returns how far down a rank is, from 0 for the most urgent to 1 for the least.
+// Depth returns the rank as a number from 0 for the most urgent to 1 for the least urgent.
 func (r Rank) Depth() float64 {
 	if r.Of < 2 {
 		return 0
@@ -21,7 +21,7 @@
 	return float64(r.Place) / float64(r.Of-1)
 }
 
-// Scaled returns the rank on a scale of so many steps, 0 the most urgent.
+// Scaled returns the rank on a scale with the given number of steps, 0 being the most urgent.
 func (r Rank) Scaled(steps int) int {
 	if r.Of <= steps {
 		return r.Place
@@ -29,95 +29,96 @@
 	return r.Place * steps / r.Of
 }
 
-// tiers is what two requests are compared by: the route's tier, and between requests of one tier the team's.
+// priority orders requests by the tier of the route and, within it, by the tier of the team.
 //
-// Were the team's compared first, large requests of the least urgent route would go before the most urgent ones of most teams:
-// under overload those got nothing while the large ones began.
-type tiers struct {
+// If the tier of the team came first, large requests on the least urgent route would precede the most urgent requests
+// of most teams, which under overload would then get nothing.
+type priority struct {
 	route int
 	team  int
 }
 
-func (t tiers) compare(other tiers) int {
-	if t.route != other.route {
-		return t.route - other.route
+func (p priority) compare(other priority) int {
+	if p.route != other.route {
+		return p.route - other.route
 	}
-	return t.team - other.team
+	return p.team - other.team
 }
 
-// tiersOf returns what a request is compared by. Requests without a team's tier stand with the usual teams, so that a few
-// anonymous routes do not push all teams down.
-func (t *Table) tiersOf(r *Route, team *Team) tiers {
+// priorityOf returns the priority of a request. A request without a team tier gets the most common tier, so that a few
+// anonymous routes do not outrank all teams.
+func (t *Table) priorityOf(r *Route, team *Team) priority {
 	if team != nil && team.HasTier {
-		return tiers{r.Tier, team.Tier}
+		return priority{r.Tier, team.Tier}
 	}
-	return tiers{r.Tier, t.usualTier}
+	return priority{r.Tier, t.commonTier}
 }
 
-// usualTierOf returns the tier that most teams have, of several the most urgent; 0 when no team has one.
-func usualTierOf(teams []Team) int {
-	count := make(map[int]int)
-	usual := 0
+// mostCommonTier returns the tier that most teams have, the most urgent one if several are equally common, and 0 if no
+// team has a tier.
+func mostCommonTier(teams []Team) int {
+	counts := make(map[int]int)
+	common := 0
 	for _, team := range teams {
 		if !team.HasTier {
 			continue
 		}
-		count[team.Tier]++
-		if more := count[team.Tier] - count[usual]; more > 0 || (more == 0 && team.Tier < usual) {
-			usual = team.Tier
+		counts[team.Tier]++
+		if difference := counts[team.Tier] - counts[common]; difference > 0 || (difference == 0 && team.Tier < common) {
+			common = team.Tier
 		}
 	}
-	return usual
+	return common
 }
 
-// ranksOf lists all that requests to each pool can be compared by, in order. Routes with prompts stand apart from those without:
-// they do not wait for each other.
-func (t *Table) ranksOf() map[queue][]tiers {
-	ranks := make(map[queue][]tiers)
+// buildRanks lists the priorities that requests to each pool can have, in order. Routes with prompts and routes without
+// are ranked separately, because they use different queues.
+func (t *Table) buildRanks() map[queueKey][]priority {
+	ranks := make(map[queueKey][]priority)
 	for i := range t.spec.Routes {
 		r := &t.spec.Routes[i]
 		for _, s := range r.Shares {
-			q := queue{s.Pool, r.Prompted}
-			ranks[q] = append(ranks[q], t.possible(r)...)
-			slices.SortFunc(ranks[q], tiers.compare)
+			q := queueKey{s.Pool, r.Prompted}
+			ranks[q] = append(ranks[q], t.possiblePriorities(r)...)
+			slices.SortFunc(ranks[q], priority.compare)
 			ranks[q] = slices.Compact(ranks[q])
 		}
 	}
 	return ranks
 }
 
-// possible lists what requests on a route can be compared by.
-func (t *Table) possible(r *Route) []tiers {
+// possiblePriorities lists the priorities that requests on a route can have.
+func (t *Table) possiblePriorities(r *Route) []priority {
 	if !t.NeedsKey(r) {
-		return []tiers{t.tiersOf(r, nil)}
+		return []priority{t.priorityOf(r, nil)}
 	}
-	all := make([]tiers, 0, len(t.spec.Teams))
+	all := make([]priority, 0, len(t.spec.Teams))
 	for i := range t.spec.Teams {
-		all = append(all, t.tiersOf(r, &t.spec.Teams[i]))
+		all = append(all, t.priorityOf(r, &t.spec.Teams[i]))
 	}
 	return all
 }
 
-// queue names the requests that wait for the same endpoints.
-type queue struct {
+// queueKey identifies the requests that wait for the same endpoints.
+type queueKey struct {
 	pool     string
 	prompted bool
 }
 
 // RankOf returns the rank of a request to a pool.
 func (t *Table) RankOf(pool string, r *Route, team *Team) Rank {
-	ranks := t.ranks[queue{pool, r.Prompted}]
-	place, _ := slices.BinarySearchFunc(ranks, t.tiersOf(r, team), tiers.compare)
-	return Rank{Place: place, Of: len(ranks)}
+	ranks := t.ranks[queueKey{pool, r.Prompted}]
+	index, _ := slices.BinarySearchFunc(ranks, t.priorityOf(r, team), priority.compare)
+	return Rank{Place: index, Of: len(ranks)}
 }
 
-// UrgentTarget returns the shortest target of the prompted routes to a pool that are as urgent as a given one or more; zero
-// when there is none.
-func (t *Table) UrgentTarget(pool string, than *Route) time.Duration {
+// UrgentTarget returns the shortest target among the prompted routes to a pool that are at least as urgent as the given
+// route; 0 if there is none.
+func (t *Table) UrgentTarget(pool string, route *Route) time.Duration {
 	shortest := time.Duration(0)
 	for i := range t.spec.Routes {
 		r := &t.spec.Routes[i]
-		if !r.Prompted || r.Tier > than.Tier || !r.leadsTo(pool) {
+		if !r.Prompted || r.Tier > route.Tier || !r.sendsTo(pool) {
 			continue
 		}
 		if shortest == 0 || r.Target < shortest {
--- a/chivetable/rank_test.go
+++ b/chivetable/rank_test.go
@@ -6,7 +6,7 @@
 	"chivedrift/chivetable"
 )
 
-// rankTable has three prompted routes to one pool, teams of two tiers and one without.
+// rankTable returns a table with two prompted routes and a plain one to one pool, teams of two tiers and one without.
 func rankTable(t *testing.T) *chivetable.Table {
 	t.Helper()
 	shares := []chivetable.Share{{Pool: "p", Weight: 1}}
@@ -28,8 +28,8 @@
 	return table
 }
 
-// Guards against large requests of better-ranked teams served before urgent requests of all others.
-func TestRoutesGoBeforeTeams(t *testing.T) {
+// Guards against large requests of better-ranked teams that are served before urgent requests of all other teams.
+func TestRouteTierPrecedesTeamTier(t *testing.T) {
 	table := rankTable(t)
 	order := []struct {
 		key, path string
@@ -39,13 +39,13 @@
 		route, _ := table.Match("h", o.path)
 		team, _ := table.Team(o.key)
 		if got := table.RankOf("p", route, team); got != (chivetable.Rank{Place: o.place, Of: 4}) {
-			t.Errorf("team %s on %s: got %+v, want place %d of 4", o.key, o.path, got, o.place)
+			t.Errorf("team %s on %s: got %+v, want index %d of 4", o.key, o.path, got, o.place)
 		}
 	}
 }
 
 // Guards against routes without keys that outrank every team.
-func TestRoutesWithoutKeysDoNotPushTeamsDown(t *testing.T) {
+func TestAnonymousRoutesDoNotOutrankTeams(t *testing.T) {
 	shares := []chivetable.Share{{Pool: "p", Weight: 1}}
 	table, err := chivetable.New(chivetable.Spec{
 		Routes: []chivetable.Route{
@@ -61,18 +61,18 @@
 	route, _ := table.Match("h", "/u/")
 	team, _ := table.Team("red")
 	if got := table.RankOf("p", route, team); got != (chivetable.Rank{Place: 0, Of: 2}) {
-		t.Errorf("the most urgent route of a team has rank %+v", got)
+		t.Errorf("most urgent route of a team: got rank %+v, want 0 of 2", got)
 	}
 }
 
-func TestRankOnAScale(t *testing.T) {
+func TestRankScaling(t *testing.T) {
 	if got := (chivetable.Rank{Place: 2, Of: 3}).Scaled(10); got != 2 {
-		t.Errorf("few ranks keep their number, got %d", got)
+		t.Errorf("fewer ranks than steps: got %d, want 2", got)
 	}
 	if got := (chivetable.Rank{Place: 19, Of: 20}).Scaled(10); got != 9 {
-		t.Errorf("many ranks share the scale, got %d", got)
+		t.Errorf("more ranks than steps: got %d, want 9", got)
 	}
 	if first, last := (chivetable.Rank{Of: 4}).Depth(), (chivetable.Rank{Place: 3, Of: 4}).Depth(); first != 0 || last != 1 {
-		t.Errorf("got depths %v and %v", first, last)
+		t.Errorf("got depths %v and %v, want 0 and 1", first, last)
 	}
 }
--- a/chivetable/table.go
+++ b/chivetable/table.go
@@ -9,19 +9,19 @@
 	"chivedrift/chiveresidency"
 )
 
-// Repetition tells what may be repeated of a request.
+// Repetition says whether a request may be retried.
 type Repetition uint8
 
 const (
-	// RepeatNever is a request that may run at most once.
+	// RepeatNever marks a request that may run at most once.
 	RepeatNever Repetition = iota
-	// RepeatAlways is an idempotent request.
+	// RepeatAlways marks an idempotent request.
 	RepeatAlways
-	// RepeatResume is a stream that may go on at another endpoint after the last event that was delivered.
+	// RepeatResume marks a stream that may be resumed at another endpoint after the last delivered event.
 	RepeatResume
 )
 
-// String returns the name that logs show.
+// String returns the name used in logs.
 func (r Repetition) String() string {
 	switch r {
 	case RepeatAlways:
@@ -33,67 +33,71 @@
 	return "once"
 }
 
-// Share is one pool of a weighted split.
+// Share is one pool of a weighted traffic split.
 type Share struct {
 	Pool   string
 	Weight int
 }
 
-// Route tells how requests for one host and path prefix are handled.
+// Route describes how requests for a host and path prefix are handled.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Shares []Share
-	// Timeout is the longest a caller is kept waiting, whatever it would wait itself.
+	// Timeout is the longest that a caller is kept waiting, even if the caller allows more.
 	Timeout time.Duration
-	// Target is the time to the answer (streams: to the first event) that the class promises.
+	// Target is the latency target of the class: the time to the response, or for streams to the first event.
 	Target time.Duration
-	// Pause is the longest pause between events of a stream that is still on time; zero for answers in one piece.
+	// Pause is the longest time between two events of a stream that meets its target; 0 for responses that are not
+	// streamed.
 	Pause time.Duration
-	// Tier is the rank among routes; 0 goes first.
+	// Tier is the priority among routes; 0 is the most urgent.
 	Tier int
-	// Attempts is the most endpoints that one request may be sent to.
+	// Attempts is the maximum number of endpoints that one request may be sent to.
 	Attempts  int
 	Anonymous bool
-	// Prompted routes carry prompts in named parts, whose place in engine caches matters.
+	// Prompted is set for routes whose requests carry prompts in named parts, so that it matters which engine has them
+	// cached.
 	Prompted bool
 	Stream   bool
 	Repeat   Repetition
-	// Residency is where requests on the route may be served.
+	// Residency limits the regions in which requests on the route may be served.
 	Residency chiveresidency.Policy
 }
 
-// Engine tells what a pool of model engines can hold; zero for plain services.
+// Engine describes the capacity of one engine of a model pool; zero for plain services.
 type Engine struct {
 	// Slots is the number of requests that one engine runs at once.
 	Slots int
-	// CacheTokens is the memory of one engine for running requests and cached parts, in tokens.
+	// CacheTokens is the memory of one engine for running requests and cached prompt parts, in tokens.
 	CacheTokens int64
-	// TokensPerEvent is how many tokens one event of a stream holds.
+	// TokensPerEvent is the number of tokens in one event of a stream.
 	TokensPerEvent int
 }
 
-// Pool is a set of endpoints that serve the same thing.
+// Pool is a set of endpoints that serve the same model or service.
 type Pool struct {
 	Name string
-	// Connections is the most connections that one endpoint takes from all callers together.
+	// Connections is the maximum number of connections to one endpoint from all callers together.
 	Connections int
 	Engine      Engine
-	// Scaling holds the settings for ordering replicas; nil if none can be ordered.
+	// Scaling holds the settings for ordering replicas; nil if replicas cannot be ordered.
 	Scaling *Scaling
-	// WarmUpRate is how many requests a second one endpoint takes while it warms up; 0 where that makes no difference.
+	// WarmUpRate is the number of requests per second that one endpoint accepts while it warms up; 0 if warming up
+	// makes no difference.
 	WarmUpRate float64
 }
 
 // Scaling holds the settings for ordering replicas of a pool.
 type Scaling struct {
-	// Min and Max limit the number of replicas of both kinds together in one failure domain.
+	// Min and Max limit the number of replicas in one failure domain, on-demand and preemptible ones together.
 	Min int
 	Max int
 	// Boot is the time from an order until the replica accepts requests.
 	Boot time.Duration
-	// PreemptiblePrice is the price of a preemptible replica relative to an on-demand one; 0 if there are none.
+	// PreemptiblePrice is the price of a preemptible replica relative to an on-demand one; 0 if there are no
+	// preemptible replicas.
 	PreemptiblePrice float64
 	// Prices holds the price of a replica by failure domain.
 	Prices map[string]float64
@@ -115,16 +119,16 @@
 	return nil
 }
 
-// Team is a customer. Its tier, where it has one, decides between requests on routes of one tier.
+// Team is a caller with its keys. The tier, if any, orders requests of different teams on routes of the same tier.
 type Team struct {
 	Name    string
 	HasTier bool
 	Tier    int
-	// Residency is where the team's requests may be served.
+	// Residency limits the regions in which the team's requests may be served.
 	Residency chiveresidency.Policy
 }
 
-// Limits bound what a caller may send; sizes are in bytes, zero means no limit.
+// Limits bounds what callers may send; sizes are in bytes, and 0 means no limit.
 type Limits struct {
 	HeaderBytes int64
 	BodyBytes   int64
@@ -132,31 +136,31 @@
 	IdleTime    time.Duration
 }
 
-// Spec is what a table is made of.
+// Spec holds the contents of a table.
 type Spec struct {
 	Version int64
 	Routes  []Route
 	Pools   []Pool
-	// Teams is nil when no request needs a key.
+	// Teams is nil if no request needs a key.
 	Teams []Team
-	// TeamKeys gives the index in Teams of each key's holder.
+	// TeamKeys maps each key to the index of its team in Teams.
 	TeamKeys map[string]int
 	Limits   Limits
 }
 
-// Table is one version of the routing configuration; it never changes.
+// Table is one immutable version of the routing configuration.
 type Table struct {
 	spec   Spec
 	byHost map[string][]*Route
 	routes map[string]*Route
 	teams  map[string]*Team
 	pools  map[string]*Pool
-	ranks  map[queue][]tiers
-	// usualTier is the tier that most teams have.
-	usualTier int
+	ranks  map[queueKey][]priority
+	// commonTier is the most common tier of the teams.
+	commonTier int
 }
 
-// New checks a spec and returns its table; the error names the version and the route.
+// New validates a spec and returns its table; errors name the version and the route or pool.
 func New(spec Spec) (*Table, error) {
 	t := &Table{
 		spec: spec, byHost: make(map[string][]*Route), routes: make(map[string]*Route, len(spec.Routes)), teams: make(map[string]*Team, len(spec.Teams)),
@@ -177,7 +181,7 @@
 	}
 	for i := range t.spec.Routes {
 		r := &t.spec.Routes[i]
-		if err := t.check(r); err != nil {
+		if err := t.validateRoute(r); err != nil {
 			return nil, fmt.Errorf("configuration version %d: route %q: %w", spec.Version, r.Name, err)
 		}
 		t.routes[r.Name] = r
@@ -187,12 +191,12 @@
 	for _, routes := range t.byHost {
 		sort.SliceStable(routes, func(i, j int) bool { return len(routes[i].Prefix) > len(routes[j].Prefix) })
 	}
-	t.usualTier = usualTierOf(spec.Teams)
-	t.ranks = t.ranksOf()
+	t.commonTier = mostCommonTier(spec.Teams)
+	t.ranks = t.buildRanks()
 	return t, nil
 }
 
-func (t *Table) check(r *Route) error {
+func (t *Table) validateRoute(r *Route) error {
 	if r.Host == "" {
 		return fmt.Errorf("no host")
 	}
@@ -205,7 +209,7 @@
 			return fmt.Errorf("unknown pool %q", s.Pool)
 		}
 		if s.Weight < 0 {
-			return fmt.Errorf("pool %q has the negative weight %d", s.Pool, s.Weight)
+			return fmt.Errorf("pool %q: weight %d is negative", s.Pool, s.Weight)
 		}
 		total += s.Weight
 	}
@@ -218,13 +222,13 @@
 // Version returns the version of the configuration.
 func (t *Table) Version() int64 { return t.spec.Version }
 
-// Limits returns the bounds on what callers may send.
+// Limits returns the limits on what callers may send.
 func (t *Table) Limits() Limits { return t.spec.Limits }
 
-// Routes returns how many routes there are.
+// Routes returns the number of routes.
 func (t *Table) Routes() int { return len(t.spec.Routes) }
 
-// Pools returns every pool.
+// Pools returns all pools.
 func (t *Table) Pools() []Pool { return t.spec.Pools }
 
 // Pool returns a pool by name.
@@ -233,9 +237,9 @@
 	return p, ok
 }
 
-// Match returns the route of a host whose prefix is the longest that begins the path.
+// Match returns the route of a host with the longest prefix that matches the path.
 func (t *Table) Match(host, path string) (*Route, bool) {
-	for _, r := range t.byHost[bareHost(host)] {
+	for _, r := range t.byHost[normalizeHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r, true
 		}
@@ -243,18 +247,18 @@
 	return nil, false
 }
 
-// bareHost drops the port and the case of a Host header.
-func bareHost(host string) string {
+// normalizeHost returns a Host header in lower case and without the port.
+func normalizeHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i > 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
 	}
 	return strings.ToLower(host)
 }
 
-// NeedsKey reports whether requests on a route must carry a team's key.
+// NeedsKey reports whether requests on a route must carry the key of a team.
 func (t *Table) NeedsKey(r *Route) bool { return t.spec.Teams != nil && !r.Anonymous }
 
-// Team returns the team that holds a key.
+// Team returns the team that a key belongs to.
 func (t *Table) Team(key string) (*Team, bool) {
 	i, ok := t.spec.TeamKeys[key]
 	if !ok || key == "" {
@@ -263,40 +267,40 @@
 	return &t.spec.Teams[i], true
 }
 
-// Residency returns where a request of a route and a team, by name, may be served; the policies of both hold. It reports false
-// when there is no such route or, where a team is named, no such team.
-func (t *Table) Residency(route, team string) (p chiveresidency.Policy, ok bool) {
-	r, ok := t.routes[route]
+// Residency returns where requests of a team on a route may be served: in the regions that both policies allow. An
+// empty team name means no team. It reports false if the route or the team does not exist.
+func (t *Table) Residency(routeName, teamName string) (policy chiveresidency.Policy, ok bool) {
+	r, ok := t.routes[routeName]
 	if !ok {
 		return chiveresidency.Policy{}, false
 	}
-	if team == "" {
+	if teamName == "" {
 		return r.Residency, true
 	}
-	owner, ok := t.teams[team]
+	team, ok := t.teams[teamName]
 	if !ok {
 		return chiveresidency.Policy{}, false
 	}
-	return r.Residency.Intersect(owner.Residency), true
+	return r.Residency.Intersect(team.Residency), true
 }
 
-// limited returns the regions of the routes and teams that may be served in some only, for state dumps.
-func (t *Table) limited() map[string]string {
-	limited := make(map[string]string)
+// regionLimits returns, for state dumps, the allowed regions of routes and teams that are limited to some.
+func (t *Table) regionLimits() map[string]string {
+	limits := make(map[string]string)
 	for i := range t.spec.Routes {
 		if r := &t.spec.Routes[i]; r.Residency.IsLimited() {
-			limited["route "+r.Name] = r.Residency.String()
+			limits["route "+r.Name] = r.Residency.String()
 		}
 	}
 	for i := range t.spec.Teams {
 		if team := &t.spec.Teams[i]; team.Residency.IsLimited() {
-			limited["team "+team.Name] = team.Residency.String()
+			limits["team "+team.Name] = team.Residency.String()
 		}
 	}
-	return limited
+	return limits
 }
 
-// CheckRegions returns an error that names the first route or team with a region that is not among the known ones.
+// CheckRegions returns an error that names the first route or team with an unknown region.
 func (t *Table) CheckRegions(known []string) error {
 	for i := range t.spec.Routes {
 		r := &t.spec.Routes[i]
@@ -313,7 +317,7 @@
 	return nil
 }
 
-func (r *Route) leadsTo(pool string) bool {
+func (r *Route) sendsTo(pool string) bool {
 	for _, s := range r.Shares {
 		if s.Pool == pool && s.Weight > 0 {
 			return true
@@ -322,16 +326,16 @@
 	return false
 }
 
-// PoolFor returns the pool that a point between 0 and 1 falls to in the route's split.
+// PoolFor returns the pool for a point from 0 to 1 in the route's traffic split.
 func (r *Route) PoolFor(point float64) string {
 	total := 0
 	for _, s := range r.Shares {
 		total += s.Weight
 	}
-	rest := point * float64(total)
+	remaining := point * float64(total)
 	for _, s := range r.Shares {
-		rest -= float64(s.Weight)
-		if rest < 0 {
+		remaining -= float64(s.Weight)
+		if remaining < 0 {
 			return s.Pool
 		}
 	}
