--- a/chivedirectory/incarnation.go
+++ b/chivedirectory/incarnation.go
@@ -9,6 +9,7 @@
 // Incarnation identifies one start of an endpoint's process. An endpoint may restart under the same id and has then
 // lost its state, so everything known about an endpoint is kept per incarnation.
 type Incarnation struct {
+	// ID is the key of the endpoint in the store.
 	ID string
 	// Born is when the process started, in Unix milliseconds by its own clock; 0 if unknown.
 	Born int64
--- a/chiveroute/choice.go
+++ b/chiveroute/choice.go
@@ -7,37 +7,41 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Choice picks a shard for each request from prefix affinity and the loads that came back on earlier replies.
+// Choice picks a shard for each request by prefix affinity and by the loads that schedulers reported with earlier
+// replies.
 type Choice struct {
 	pick  func(n int) int
 	mu    sync.Mutex
-	loads map[string]seenLoad
+	loads map[string]loadReport
 }
 
-type seenLoad struct {
-	percent int
-	at      time.Time
+type loadReport struct {
+	percent    int
+	receivedAt time.Time
 }
 
 const (
-	loadBelieved  = 5 * time.Second
-	loadedPercent = 100
-	worthMoving   = 20
+	maxLoadAge        = 5 * time.Second
+	fullLoadPercent   = 100
+	minLoadDifference = 20
 )
 
-// NewChoice returns a choice that has seen no load yet; pick returns a random number below n, rand.IntN outside of tests.
+// NewChoice returns a choice without any load reports; pick returns a random number below n (rand.IntN except in
+// tests).
 func NewChoice(pick func(n int) int) *Choice {
-	return &Choice{pick: pick, loads: make(map[string]seenLoad)}
+	return &Choice{pick: pick, loads: make(map[string]loadReport)}
 }
 
-// Observe notes a shard's load as its scheduler told it, in percent of the capacity.
+// Observe records a shard's load as reported by its scheduler, in percent of its capacity.
 func (c *Choice) Observe(now time.Time, shard string, percent int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.loads[shard] = seenLoad{percent: percent, at: now}
+	c.loads[shard] = loadReport{percent: percent, receivedAt: now}
 }
 
-// Pick returns the shard that the prefix prefers, or the better one of two when that shard has a queue; excluded ones are left out.
+// Pick returns the shard preferred for the prefix. If the load of that shard exceeds its capacity, so that requests
+// queue there, Pick draws another shard at random and returns it if its load is lower by more than minLoadDifference.
+// Excluded shards are never returned.
 func (c *Choice) Pick(now time.Time, prefix uint64, shards []Shard, excluded map[string]bool) (Shard, bool) {
 	usable := make([]Shard, 0, len(shards))
 	for _, s := range shards {
@@ -55,34 +59,34 @@
 	other := usable[c.pick(len(usable))]
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	here, there := c.load(now, preferred.id), c.load(now, other.id)
-	if here > loadedPercent && there+worthMoving < here {
+	preferredLoad, otherLoad := c.load(now, preferred.id), c.load(now, other.id)
+	if preferredLoad > fullLoadPercent && otherLoad+minLoadDifference < preferredLoad {
 		return other, true
 	}
 	return preferred, true
 }
 
-// load returns what a shard last told; what it told long ago says nothing.
+// load returns the last reported load of a shard, or 0 if there is no recent report.
 func (c *Choice) load(now time.Time, shard string) int {
-	seen, ok := c.loads[shard]
-	if !ok || now.Sub(seen.at) > loadBelieved {
+	report, ok := c.loads[shard]
+	if !ok || now.Sub(report.receivedAt) > maxLoadAge {
 		return 0
 	}
-	return seen.percent
+	return report.percent
 }
 
 func preferredShard(prefix uint64, shards []Shard) Shard {
 	best, weight := shards[0], uint64(0)
 	for _, s := range shards {
-		if w := xxhash.Sum64String(s.id) ^ prefix; mix(w) >= weight {
-			best, weight = s, mix(w)
+		if w := xxhash.Sum64String(s.id) ^ prefix; mixBits(w) >= weight {
+			best, weight = s, mixBits(w)
 		}
 	}
 	return best
 }
 
-// mix spreads the bits of a hash, so that combining two hashes by exclusive or still orders shards at random.
-func mix(h uint64) uint64 {
+// mixBits spreads the bits of a hash, so that the exclusive or of two hashes still ranks shards at random.
+func mixBits(h uint64) uint64 {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
 	h ^= h >> 33
--- a/chiveroute/doc.go
+++ b/chiveroute/doc.go
@@ -1,2 +1,3 @@
-// Package chiveroute decides where a request goes: which shard of a pool, which node schedules it, which replica of a plain service.
+// Package chiveroute chooses where a request is served. It splits model pools into shards, picks the shard for a
+// request, assigns shards and other keys to the nodes that own them, and picks replicas of plain services.
 package chiveroute
--- a/chiveroute/local.go
+++ b/chiveroute/local.go
@@ -12,41 +12,42 @@
 	"chivedrift/chiveresidency"
 )
 
-// Local chooses a replica of a plain service by this node's own requests in flight, the better of two at random.
+// Local picks replicas of plain services. It draws two at random and takes the one with fewer requests of this node in
+// flight.
 type Local struct {
 	mu       sync.Mutex
 	replicas map[string]*replica
 }
 
-// A replica has a limit of requests in flight that adapts to how it answers.
+// replica is the state of one replica. Its limit on requests in flight adapts to its response times and failures.
 type replica struct {
-	endpoint  chiveconfig.Endpoint
-	inFlight  int
-	limit     float64
-	fastest   time.Duration
-	failures  int
-	downUntil time.Time
-	leaving   time.Time
+	endpoint         chiveconfig.Endpoint
+	inFlight         int
+	limit            float64
+	fastest          time.Duration
+	failures         int
+	quarantinedUntil time.Time
+	drainingUntil    time.Time
 }
 
 const (
-	limitFirst       = 32.0
-	limitLeast       = 2.0
-	limitMost        = 1024.0
-	limitShrink      = 0.8
-	slowFactor       = 4
-	quarantineFirst  = 500 * time.Millisecond
-	quarantineMost   = 10 * time.Second
-	leavingKept      = time.Minute
-	fastestForgotten = 1.01
+	initialLimit        = 32.0
+	minLimit            = 2.0
+	maxLimit            = 1024.0
+	limitDecreaseFactor = 0.8
+	maxLatencyFactor    = 4
+	initialQuarantine   = 500 * time.Millisecond
+	maxQuarantine       = 10 * time.Second
+	drainingPeriod      = time.Minute
+	fastestGrowthFactor = 1.01
 )
 
-// NewLocal returns a chooser without replicas.
+// NewLocal returns a Local without replicas.
 func NewLocal() *Local {
 	return &Local{replicas: make(map[string]*replica)}
 }
 
-// SetEndpoints takes the replicas of the configuration in force; what is known of those that stay is kept.
+// SetEndpoints replaces the replicas by those of the configuration in force; replicas that remain keep their state.
 func (l *Local) SetEndpoints(endpoints []chiveconfig.Endpoint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -55,14 +56,15 @@
 	for _, e := range endpoints {
 		r, ok := known[e.Name]
 		if !ok {
-			r = &replica{limit: limitFirst}
+			r = &replica{limit: initialLimit}
 		}
 		r.endpoint = e
 		l.replicas[e.Name] = r
 	}
 }
 
-// Take reserves a place on a replica that the residency policy allows, preferring the region; it reports false when none is up with room.
+// Take reserves a place on a replica in an allowed region. Replicas of the given region are preferred. It reports false
+// if no replica is available below its limit.
 func (l *Local) Take(now time.Time, region string, residency chiveresidency.Policy, exclude []string) (chiveconfig.Endpoint, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -80,26 +82,26 @@
 }
 
 func (l *Local) usable(now time.Time, region string, residency chiveresidency.Policy, exclude []string) []*replica {
-	var near, far []*replica
+	var sameRegion, otherRegions []*replica
 	for _, name := range slices.Sorted(maps.Keys(l.replicas)) {
 		r := l.replicas[name]
-		if slices.Contains(exclude, name) || now.Before(r.downUntil) || now.Before(r.leaving) || float64(r.inFlight) >= r.limit || !residency.Allows(r.endpoint.Region) {
+		if slices.Contains(exclude, name) || now.Before(r.quarantinedUntil) || now.Before(r.drainingUntil) || float64(r.inFlight) >= r.limit || !residency.Allows(r.endpoint.Region) {
 			continue
 		}
 		if r.endpoint.Region == region {
-			near = append(near, r)
+			sameRegion = append(sameRegion, r)
 		} else {
-			far = append(far, r)
+			otherRegions = append(otherRegions, r)
 		}
 	}
-	if len(near) > 0 {
-		return near
+	if len(sameRegion) > 0 {
+		return sameRegion
 	}
-	return far
+	return otherRegions
 }
 
-// Release gives a place back; a failure quarantines the replica, and slow answers lower its limit.
-func (l *Local) Release(now time.Time, name string, took time.Duration, ok bool) {
+// Release gives a place back. A failure quarantines the replica, and slow responses lower its limit.
+func (l *Local) Release(now time.Time, name string, duration time.Duration, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r, known := l.replicas[name]
@@ -108,43 +110,44 @@
 	}
 	r.inFlight = max(r.inFlight-1, 0)
 	if !ok {
-		r.downUntil = now.Add(min(quarantineFirst<<min(r.failures, 10), quarantineMost))
+		r.quarantinedUntil = now.Add(min(initialQuarantine<<min(r.failures, 10), maxQuarantine))
 		r.failures++
-		r.limit = max(r.limit*limitShrink, limitLeast)
+		r.limit = max(r.limit*limitDecreaseFactor, minLimit)
 		return
 	}
 	r.failures = 0
-	r.adapt(took)
+	r.adjustLimit(duration)
 }
 
-// adapt raises the limit by one a round while answers are near the fastest seen, and shrinks it when they slow down.
-func (r *replica) adapt(took time.Duration) {
-	if r.fastest == 0 || took < r.fastest {
-		r.fastest = took
+// adjustLimit raises the limit by one per round of requests while responses are near the fastest seen, and lowers it
+// when they are slow. The fastest time grows with each response, so that an outdated minimum is forgotten.
+func (r *replica) adjustLimit(duration time.Duration) {
+	if r.fastest == 0 || duration < r.fastest {
+		r.fastest = duration
 	} else {
-		r.fastest = time.Duration(float64(r.fastest) * fastestForgotten)
+		r.fastest = time.Duration(float64(r.fastest) * fastestGrowthFactor)
 	}
-	if took > slowFactor*r.fastest+slowAllowance {
-		r.limit = max(r.limit-1/limitShrink, limitLeast)
+	if duration > maxLatencyFactor*r.fastest+latencyAllowance {
+		r.limit = max(r.limit-1/limitDecreaseFactor, minLimit)
 		return
 	}
-	r.limit = min(r.limit+1/r.limit, limitMost)
+	r.limit = min(r.limit+1/r.limit, maxLimit)
 }
 
-const slowAllowance = 20 * time.Millisecond
+const latencyAllowance = 20 * time.Millisecond
 
-// Leaving notes that the replica at an address takes no new work.
+// Leaving records that the replica at an address accepts no new requests.
 func (l *Local) Leaving(now time.Time, address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range l.replicas {
 		if r.endpoint.Address == address {
-			r.leaving = now.Add(leavingKept)
+			r.drainingUntil = now.Add(drainingPeriod)
 		}
 	}
 }
 
-// ReplicaState is the dump of one replica.
+// ReplicaState is the state of one replica in state dumps.
 type ReplicaState struct {
 	Name     string  `json:"name"`
 	InFlight int     `json:"in_flight"`
@@ -153,7 +156,7 @@
 	Up       bool    `json:"up"`
 }
 
-// States returns the state of each replica by name.
+// States returns the state of all replicas, sorted by name.
 func (l *Local) States(now time.Time) []ReplicaState {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -161,7 +164,7 @@
 	for name, r := range l.replicas {
 		states = append(states, ReplicaState{
 			Name: name, InFlight: r.inFlight, Limit: r.limit, Failures: r.failures,
-			Up: !now.Before(r.downUntil) && !now.Before(r.leaving),
+			Up: !now.Before(r.quarantinedUntil) && !now.Before(r.drainingUntil),
 		})
 	}
 	sort.Slice(states, func(i, j int) bool { return states[i].Name < states[j].Name })
--- a/chiveroute/local_test.go
+++ b/chiveroute/local_test.go
@@ -9,21 +9,21 @@
 	"chivedrift/chiveroute"
 )
 
-// Guards against a replica outside the allowed regions that is taken because the near ones are full or excluded.
-func TestReplicaOutsideTheAllowedRegionsIsNotTaken(t *testing.T) {
+// Guards against using a replica outside the allowed regions because the ones inside are full or excluded.
+func TestReplicaOutsideAllowedRegionsIsNotUsed(t *testing.T) {
 	l := chiveroute.NewLocal()
 	l.SetEndpoints([]chiveconfig.Endpoint{{Name: "n", Region: "north"}, {Name: "s", Region: "south"}})
 	south := chiveresidency.Within([]string{"south"})
 	for range 20 {
 		e, ok := l.Take(time.Now(), "north", south, nil)
 		if !ok || e.Name != "s" {
-			t.Fatalf("took %q, %v", e.Name, ok)
+			t.Fatalf("took %q, %v, want replica s", e.Name, ok)
 		}
 	}
 	if e, ok := l.Take(time.Now(), "north", south, []string{"s"}); ok {
-		t.Errorf("took %q although the only allowed replica is excluded", e.Name)
+		t.Errorf("took %q, although the only allowed replica is excluded", e.Name)
 	}
 	if _, ok := l.Take(time.Now(), "north", chiveresidency.Policy{}, []string{"s"}); !ok {
-		t.Error("without a limit the other replica is taken")
+		t.Error("no replica taken, although all regions are allowed and one replica is not excluded")
 	}
 }
--- a/chiveroute/placement.go
+++ b/chiveroute/placement.go
@@ -6,81 +6,84 @@
 	"chivedrift/chivemember"
 )
 
-// Key is something that one node keeps for all: a shard's queue, a slot's claims.
+// Key identifies state that a single node owns for the whole fleet, such as the queue of a shard or the claims of a
+// slot.
 type Key struct {
 	id     string
 	region string
 }
 
-// NewKey returns a key that is best kept in a region; an empty region means anywhere.
+// NewKey returns a key whose owner should be in the given region; an empty region means any.
 func NewKey(id, region string) Key { return Key{id: id, region: region} }
 
-// ID returns the key's name.
+// ID returns the id of the key.
 func (k Key) ID() string { return k.id }
 
-// Placement is which node keeps each key, with the order of those that follow when it does not answer.
+// Placement assigns each key to the node that owns it and to the nodes that take over, in order, when it does not
+// answer.
 //
-// Rendezvous hashing alone gives two or three of eighty shards to one node of 330 and none to most; the busiest node
-// sets the budget. Here each key goes to the first node in its rendezvous order that does not keep its even share
-// yet. All nodes compute the same from the same members, and views that differ for a moment cost accuracy only.
+// Rendezvous hashing alone assigns two or three of 80 shards to one of 330 nodes and none to most nodes, and capacity
+// must be planned for the busiest node. So each key goes to the first node in its rendezvous order that does not have
+// its even share of keys yet. All nodes compute the same placement from the same members. Views that differ for a
+// moment only cost accuracy.
 type Placement struct {
-	order map[string][]chivemember.Member
+	owners map[string][]chivemember.Member
 }
 
-// ownersKept is how many owners a key's order goes down to: with all of 330 members for each of 144 keys a placement
-// would take megabytes, and after eight that do not answer the gateway's own small share serves.
-const ownersKept = 8
+// maxOwners is how many owners are kept for each key. With all of 330 members for each of 144 keys a placement would
+// take megabytes, and when eight owners do not answer, the gateway uses its own small share of the capacity.
+const maxOwners = 8
 
-// NewPlacement places keys on the live members.
+// NewPlacement assigns keys to the live members.
 func NewPlacement(keys []Key, members []chivemember.Member) *Placement {
-	p := &Placement{order: make(map[string][]chivemember.Member, len(keys))}
+	p := &Placement{owners: make(map[string][]chivemember.Member, len(keys))}
 	sorted := append([]Key(nil), keys...)
 	sort.Slice(sorted, func(i, j int) bool { return sorted[i].id < sorted[j].id })
-	share := evenShares(sorted, members)
-	kept := make(map[string]int)
+	maxKeys := maxKeysPerNode(sorted, members)
+	keyCounts := make(map[string]int)
 	for _, k := range sorted {
 		ranked := Ranked(k.id, k.region, members)
-		chosen := 0
+		owner := 0
 		for i, m := range ranked {
-			if kept[m.Name] < share[k.region] && (k.region == "" || m.Region == k.region) {
-				chosen = i
+			if keyCounts[m.Name] < maxKeys[k.region] && (k.region == "" || m.Region == k.region) {
+				owner = i
 				break
 			}
 		}
 		if len(ranked) > 0 {
-			kept[ranked[chosen].Name]++
-			p.order[k.id] = append([]chivemember.Member(nil), moveToFront(ranked, chosen)[:min(len(ranked), ownersKept)]...)
+			keyCounts[ranked[owner].Name]++
+			p.owners[k.id] = append([]chivemember.Member(nil), moveToFront(ranked, owner)[:min(len(ranked), maxOwners)]...)
 		}
 	}
 	return p
 }
 
-// Owners returns the members that keep a key, the present one first.
-func (p *Placement) Owners(id string) []chivemember.Member { return p.order[id] }
+// Owners returns the members that own a key, the current owner first.
+func (p *Placement) Owners(id string) []chivemember.Member { return p.owners[id] }
 
-// evenShares returns, by region, how many keys a node keeps when they are spread evenly.
-func evenShares(keys []Key, members []chivemember.Member) map[string]int {
-	keysOf, nodesOf := make(map[string]int), make(map[string]int)
+// maxKeysPerNode returns, by region, how many keys a node owns when they are spread evenly.
+func maxKeysPerNode(keys []Key, members []chivemember.Member) map[string]int {
+	keyCounts, nodeCounts := make(map[string]int), make(map[string]int)
 	for _, k := range keys {
-		keysOf[k.region]++
+		keyCounts[k.region]++
 	}
 	for _, m := range members {
 		if m.State == chivemember.Alive {
-			nodesOf[m.Region]++
-			nodesOf[""]++
+			nodeCounts[m.Region]++
+			nodeCounts[""]++
 		}
 	}
-	share := make(map[string]int, len(keysOf))
-	for region, count := range keysOf {
-		nodes := max(nodesOf[region], 1)
-		share[region] = (count + nodes - 1) / nodes
+	maxKeys := make(map[string]int, len(keyCounts))
+	for region, count := range keyCounts {
+		nodes := max(nodeCounts[region], 1)
+		maxKeys[region] = (count + nodes - 1) / nodes
 	}
-	return share
+	return maxKeys
 }
 
-func moveToFront(ranked []chivemember.Member, chosen int) []chivemember.Member {
-	first := ranked[chosen]
-	copy(ranked[1:chosen+1], ranked[:chosen])
+func moveToFront(ranked []chivemember.Member, index int) []chivemember.Member {
+	first := ranked[index]
+	copy(ranked[1:index+1], ranked[:index])
 	ranked[0] = first
 	return ranked
 }
--- a/chiveroute/shard.go
+++ b/chiveroute/shard.go
@@ -12,7 +12,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Shard is a group of endpoints of one pool in one region with a single scheduler.
+// Shard is a group of endpoints of one pool and region with a single scheduler.
 type Shard struct {
 	id        string
 	pool      string
@@ -20,22 +20,23 @@
 	endpoints []chiveconfig.Endpoint
 }
 
-// ID returns the shard's name, the same on all nodes.
+// ID returns the name of the shard, which is the same on all nodes.
 func (s Shard) ID() string { return s.id }
 
-// Pool returns the pool whose endpoints these are.
+// Pool returns the pool of the endpoints.
 func (s Shard) Pool() string { return s.pool }
 
-// Region returns the region in which the endpoints are.
+// Region returns the region of the endpoints.
 func (s Shard) Region() string { return s.region }
 
 // Endpoints returns the shard's endpoints.
 func (s Shard) Endpoints() []chiveconfig.Endpoint { return s.endpoints }
 
-// Shards splits the endpoints of every model pool into shards, by the configuration alone, so that all nodes agree.
+// Shards splits the endpoints of every model pool into shards. The result depends only on the configuration, so all
+// nodes agree on it.
 //
-// Each shard gets endpoints of every failure domain in turn: the loss of a domain then takes a part of every shard's
-// capacity in place of all the capacity of some.
+// Each shard gets endpoints of every failure domain in turn. The loss of a failure domain then costs every shard a part
+// of its capacity, rather than some shards all of it.
 func Shards(config *chiveconfig.Config) []Shard {
 	var shards []Shard
 	for i := range config.Pools {
@@ -48,27 +49,28 @@
 			byRegion[e.Region] = append(byRegion[e.Region], e)
 		}
 		for _, region := range slices.Sorted(maps.Keys(byRegion)) {
-			shards = append(shards, split(pool.Name, region, byRegion[region], int(config.Routing.EndpointsPerShard))...)
+			shards = append(shards, splitIntoShards(pool.Name, region, byRegion[region], int(config.Routing.EndpointsPerShard))...)
 		}
 	}
 	return shards
 }
 
-func split(pool, region string, endpoints []chiveconfig.Endpoint, most int) []Shard {
-	count := (len(endpoints) + most - 1) / most
+func splitIntoShards(pool, region string, endpoints []chiveconfig.Endpoint, maxEndpoints int) []Shard {
+	count := (len(endpoints) + maxEndpoints - 1) / maxEndpoints
 	shards := make([]Shard, count)
 	for i := range shards {
 		shards[i] = Shard{id: fmt.Sprintf("%s/%s/%d", pool, region, i), pool: pool, region: region}
 	}
-	for i, e := range interleave(endpoints) {
+	for i, e := range sortByFailureDomain(endpoints) {
 		s := &shards[i%count]
 		s.endpoints = append(s.endpoints, e)
 	}
 	return shards
 }
 
-// interleave orders endpoints by failure domain, so that dealing them out spreads every domain over all shards.
-func interleave(endpoints []chiveconfig.Endpoint) []chiveconfig.Endpoint {
+// sortByFailureDomain sorts endpoints by failure domain, so that dealing them out in turn spreads every failure domain
+// over all shards.
+func sortByFailureDomain(endpoints []chiveconfig.Endpoint) []chiveconfig.Endpoint {
 	ordered := append([]chiveconfig.Endpoint(nil), endpoints...)
 	sort.Slice(ordered, func(i, j int) bool {
 		if ordered[i].FailureDomain != ordered[j].FailureDomain {
@@ -79,9 +81,10 @@
 	return ordered
 }
 
-// Ranked orders live members by rendezvous hashing on a key; those of the region come first, and leaving ones never.
+// Ranked sorts the members that are alive by rendezvous hashing for a key, those of the region first. Leaving members
+// are not returned.
 //
-// The first is the key's owner. When it dies the second takes over, and no other key moves.
+// The first member owns the key. If it fails, the second takes over, and no other key moves.
 func Ranked(key, region string, members []chivemember.Member) []chivemember.Member {
 	ranked := make([]chivemember.Member, 0, len(members))
 	for _, m := range members {
