--- a/chivedispatch/chunk.go
+++ b/chivedispatch/chunk.go
@@ -4,54 +4,56 @@
 	"bytes"
 )
 
-// An engine's stream is server-sent events with one JSON chunk each. The relay passes the bytes on as they are and
-// only looks for what it needs to resume a broken stream: the raw text of each token, the finish reason, the end.
+// An engine's stream consists of server-sent events with one JSON chunk each. The dispatcher forwards their data
+// unchanged and extracts only what it needs to resume an interrupted stream: the raw text of each token, the finish
+// reason, the usage and the end marker.
 
 var (
-	dataPrefix   = []byte("data:")
-	doneMark     = []byte("[DONE]")
-	contentField = []byte(`"content":"`)
-	textField    = []byte(`"text":"`)
-	finishField  = []byte(`"finish_reason":"`)
-	usageField   = []byte(`"usage":{`)
+	dataPrefix         = []byte("data:")
+	doneMarker         = []byte("[DONE]")
+	contentPrefix      = []byte(`"content":"`)
+	textPrefix         = []byte(`"text":"`)
+	finishReasonPrefix = []byte(`"finish_reason":"`)
+	usagePrefix        = []byte(`"usage":{`)
 )
 
-// chunk is what the relay needs to know of one event; its slices are views into the event's bytes.
+// chunk holds the fields extracted from one event; its slices alias the event's bytes.
 type chunk struct {
-	data   []byte
-	text   []byte
-	finish []byte
-	usage  []byte
-	done   bool
+	data         []byte
+	text         []byte
+	finishReason []byte
+	usage        []byte
+	done         bool
 }
 
-// parseChunk looks into one line of the stream; ok is false for a line that is not data.
+// parseChunk parses one line of the stream; ok is false for a line that is not a data field.
 func parseChunk(line []byte) (c chunk, ok bool) {
 	data, ok := bytes.CutPrefix(line, dataPrefix)
 	if !ok {
 		return chunk{}, false
 	}
 	c.data = bytes.TrimSpace(data)
-	if bytes.Equal(c.data, doneMark) {
+	if bytes.Equal(c.data, doneMarker) {
 		c.done = true
 		return c, true
 	}
-	c.text = stringAfter(c.data, contentField)
+	c.text = stringAfter(c.data, contentPrefix)
 	if c.text == nil {
-		c.text = stringAfter(c.data, textField)
+		c.text = stringAfter(c.data, textPrefix)
 	}
-	c.finish = stringAfter(c.data, finishField)
-	c.usage = objectAfter(c.data, usageField)
+	c.finishReason = stringAfter(c.data, finishReasonPrefix)
+	c.usage = objectAfter(c.data, usagePrefix)
 	return c, true
 }
 
-// stringAfter returns the raw JSON string that follows a field's opening, without its quotes, or nil.
-func stringAfter(data, opening []byte) []byte {
-	start := bytes.Index(data, opening)
+// stringAfter returns the raw contents of the JSON string whose field name and opening quote are prefix, without the
+// closing quote, or nil.
+func stringAfter(data, prefix []byte) []byte {
+	start := bytes.Index(data, prefix)
 	if start < 0 {
 		return nil
 	}
-	rest := data[start+len(opening):]
+	rest := data[start+len(prefix):]
 	for i := 0; i < len(rest); i++ {
 		switch rest[i] {
 		case '\\':
@@ -63,13 +65,13 @@
 	return nil
 }
 
-// objectAfter returns the flat or nested JSON object that follows a field's opening, with its braces, or nil.
-func objectAfter(data, opening []byte) []byte {
-	start := bytes.Index(data, opening)
+// objectAfter returns the JSON object, including its braces, whose field name and opening brace are prefix, or nil.
+func objectAfter(data, prefix []byte) []byte {
+	start := bytes.Index(data, prefix)
 	if start < 0 {
 		return nil
 	}
-	rest := data[start+len(opening)-1:]
+	rest := data[start+len(prefix)-1:]
 	depth := 0
 	for i, b := range rest {
 		switch b {
--- a/chivedispatch/dialect.go
+++ b/chivedispatch/dialect.go
@@ -6,30 +6,31 @@
 	"chivedrift/chiverequest"
 )
 
-// NotRunHeader is set by an endpoint whose refusal proves that nothing ran.
+// NotRunHeader is the response header that an endpoint sets to "true" when it refuses a request without having run any
+// of it.
 const NotRunHeader = "Endpoint-Not-Run"
 
 const requestIDHeader = "X-Request-Id"
 
-// dialect is how the endpoints of the product's own configuration are spoken to. Their answers do not say to which request
-// they belong.
+// dialect implements the protocol of the endpoints that are listed in the router's own configuration. Their responses
+// do not identify the request they belong to.
 type dialect struct{}
 
-// bodied is a request whose body differs from attempt to attempt.
-type bodied interface {
-	body() ([]byte, error)
+// bodyProvider is implemented by the Source of requests whose body differs between attempts.
+type bodyProvider interface {
+	requestBody() ([]byte, error)
 }
 
-// Prepare adds the request's identity and lays out the body.
-func (dialect) Prepare(header http.Header, send chiverequest.Send) ([]byte, error) {
-	header.Set(requestIDHeader, send.Request.ID)
-	if source, ok := send.Request.Source.(bodied); ok {
-		return source.body()
+// Prepare sets the request ID header and returns the body of an attempt.
+func (dialect) Prepare(header http.Header, attempt chiverequest.Send) ([]byte, error) {
+	header.Set(requestIDHeader, attempt.Request.ID)
+	if source, ok := attempt.Request.Source.(bodyProvider); ok {
+		return source.requestBody()
 	}
-	return send.Request.Body, nil
+	return attempt.Request.Body, nil
 }
 
-// Judge tells a refusal that proves that nothing ran from all other answers.
+// Judge distinguishes a refusal that proves that nothing ran from all other responses.
 func (dialect) Judge(_ *chiverequest.Request, response *http.Response) chiverequest.Verdict {
 	if response.StatusCode != http.StatusOK && response.Header.Get(NotRunHeader) == "true" {
 		return chiverequest.VerdictNotRun
@@ -37,12 +38,13 @@
 	return chiverequest.VerdictAnswer
 }
 
-// HealthCheck asks for the options of the whole server, which changes nothing and needs no path of its own.
+// HealthCheck returns OPTIONS *, which has no side effects and needs no dedicated path on the endpoint.
 func (dialect) HealthCheck(http.Header, string) (method, target string) {
 	return http.MethodOptions, "*"
 }
 
-// JudgeHealth takes every answer for the endpoint's, but a proxy's that it does not reach the process.
+// JudgeHealth treats every response as the endpoint's own, except a gateway error without NotRunHeader: that comes from
+// a proxy that cannot reach the process.
 func (dialect) JudgeHealth(_, _ string, response *http.Response) chiverequest.Health {
 	if chiverequest.IsGateway(response.StatusCode) && response.Header.Get(NotRunHeader) == "" {
 		return chiverequest.HealthGateway
--- a/chivedispatch/dispatcher.go
+++ b/chivedispatch/dispatcher.go
@@ -16,27 +16,28 @@
 	"chivedrift/chivewire"
 )
 
-// ServiceName is the name under which the dispatcher registers.
+// ServiceName is the name under which the dispatcher is registered in the kernel.
 const ServiceName = "dispatch"
 
-// Slots is what the dispatcher needs of the scheduling.
+// Slots hands out the scheduler's slots.
 type Slots interface {
-	// Acquire waits for a slot.
+	// Acquire blocks until a slot is granted or refused, or ctx is done.
 	Acquire(ctx context.Context, ask chiveschedule.Ask) (*chiveschedule.Slot, error)
 }
 
-// Fleet hears which endpoints take no new work.
+// Fleet is told which endpoints are draining.
 type Fleet interface {
-	// EndpointLeaves tells the fleet that an endpoint, by its address, takes no new work.
+	// EndpointLeaves reports that the endpoint at an address accepts no new requests.
 	EndpointLeaves(address string)
 }
 
 const (
 	maxAttempts = 6
-	minuteRetry = time.Minute
+	// configRetryAfter is the Retry-After time of requests that cannot be served until the configuration changes.
+	configRetryAfter = time.Minute
 )
 
-// Error codes, as callers see them.
+// Error codes in responses to callers.
 const (
 	CodeEndpointError = "endpoint_error"
 	CodeDeadline      = chiveforward.CodeDeadline
@@ -44,7 +45,7 @@
 	CodeRefused       = "capacity"
 )
 
-// Dispatcher runs model requests: the scheduler's slots are their places, the product's own engines their endpoints.
+// Dispatcher runs model requests on slots that the scheduler grants on the engines of the router's own configuration.
 type Dispatcher struct {
 	self       string
 	network    chivewire.Network
@@ -52,146 +53,147 @@
 	fleet      Fleet
 	quarantine chiveforward.Quarantine
 	logger     *slog.Logger
-	forward    *chiveforward.Forwarder
+	forwarder  *chiveforward.Forwarder
 	budget     *Budget
 	waste      *Waste
 }
 
-// New returns a dispatcher that calls endpoints over a network.
+// New returns a dispatcher that connects to endpoints through network.
 func New(
 	self string, network chivewire.Network, slots Slots, fleet Fleet, quarantine chiveforward.Quarantine, logger *slog.Logger,
 ) *Dispatcher {
 	d := &Dispatcher{self: self, network: network, slots: slots, fleet: fleet, quarantine: quarantine, logger: logger, budget: NewBudget(), waste: &Waste{}}
-	d.forward = d.newForwarder(slotPlaces{d}, maxAttempts)
+	d.forwarder = d.newForwarder(slotPlacer{d}, maxAttempts)
 	return d
 }
 
-// newForwarder returns a forwarder for endpoints of the product's own configuration.
-func (d *Dispatcher) newForwarder(places chiveforward.Places, refusals int) *chiveforward.Forwarder {
+// newForwarder returns a forwarder to the endpoints of the router's own configuration.
+func (d *Dispatcher) newForwarder(placer chiveforward.Places, maxRefusals int) *chiveforward.Forwarder {
 	return chiveforward.New(chiveforward.Options{
-		Self: d.self, Network: d.network, Dialect: dialect{}, Places: places, Repeats: d.budget,
-		Rules: chiveforward.Rules{Refusals: refusals, FreshOnce: true}, Quarantine: d.quarantine, Logger: d.logger,
+		Self: d.self, Network: d.network, Dialect: dialect{}, Places: placer, Repeats: d.budget,
+		Rules: chiveforward.Rules{Refusals: maxRefusals, FreshOnce: true}, Quarantine: d.quarantine, Logger: d.logger,
 	})
 }
 
-// Start begins to look after idle connections.
-func (d *Dispatcher) Start(ctx context.Context) error { return d.forward.Start(ctx) }
+// Start starts the forwarder's background tasks, such as closing idle connections.
+func (d *Dispatcher) Start(ctx context.Context) error { return d.forwarder.Start(ctx) }
 
-// Stop closes idle connections.
-func (d *Dispatcher) Stop(ctx context.Context) error { return d.forward.Stop(ctx) }
+// Stop closes idle connections to endpoints.
+func (d *Dispatcher) Stop(ctx context.Context) error { return d.forwarder.Stop(ctx) }
 
-// Dump returns the retry credits and the work that was thrown away.
+// Dump returns the retry credits, the counts of wasted tokens and the forwarder's state.
 func (d *Dispatcher) Dump() any {
 	return struct {
 		Credits map[string]float64 `json:"retry_credits"`
 		Waste   WasteState         `json:"waste"`
 		Forward any                `json:"forward"`
-	}{d.budget.Credits(), d.waste.State(), d.forward.Dump()}
+	}{d.budget.Credits(), d.waste.State(), d.forwarder.Dump()}
 }
 
-// PeerFailure takes a failure of an engine that another node found, and returns when it was alive later.
+// PeerFailure handles an engine failure that another node detected. If the engine has answered this node since the
+// failure, alive is the time of that response, else the zero time.
 func (d *Dispatcher) PeerFailure(failure chivehealth.Failure) (alive time.Time) {
-	return d.forward.PeerFailure(failure)
+	return d.forwarder.PeerFailure(failure)
 }
 
-// Run carries a model request through to its outcome; answer holds what was delivered.
-func (d *Dispatcher) Run(parent context.Context, work *Work, sink Sink) (Result, *Answer) {
-	m := &modelRun{d: d, work: work, sink: sink, answer: &Answer{}}
-	result := d.forward.Run(parent, m.request(), m)
-	return m.finish(&result), m.answer
+// Run runs a model request to its outcome and also returns what was delivered to the caller.
+func (d *Dispatcher) Run(ctx context.Context, request *Work, sink Sink) (Result, *Answer) {
+	run := &modelRun{dispatcher: d, request: request, sink: sink, response: &Answer{}}
+	result := d.forwarder.Run(ctx, run.forwardRequest(), run)
+	return run.toResult(&result), run.response
 }
 
-// slotPlaces turns the scheduler's slots into places.
-type slotPlaces struct {
-	d *Dispatcher
+// slotPlacer implements chiveforward.Places with the scheduler's slots.
+type slotPlacer struct {
+	dispatcher *Dispatcher
 }
 
-// Take waits for a slot.
-func (p slotPlaces) Take(ctx context.Context, request *chiverequest.Request, exclude []string) (chiveforward.Place, error) {
-	m, ok := request.Source.(*modelRun)
+// Take blocks until the scheduler grants or refuses a slot.
+func (p slotPlacer) Take(ctx context.Context, request *chiverequest.Request, exclude []string) (chiveforward.Place, error) {
+	run, ok := request.Source.(*modelRun)
 	if !ok {
-		return nil, errNotAModel
+		return nil, errNotModelRequest
 	}
 	for {
-		m.number++
-		slot, err := p.d.slots.Acquire(ctx, chiveschedule.Ask{Pool: m.work.Pool, Request: m.work.slotRequest(m.number, m.answer.tokens, exclude)})
+		run.attemptNumber++
+		slot, err := p.dispatcher.slots.Acquire(ctx, chiveschedule.Ask{Pool: run.request.Pool, Request: run.request.slotRequest(run.attemptNumber, run.response.tokens, exclude)})
 		if err != nil {
-			return nil, refusedBy(err)
+			return nil, toRefusedError(err)
 		}
 		if slot.Endpoint().Address == "" {
-			// The configuration dropped the endpoint between the grant and here.
+			// The endpoint was removed from the configuration after the slot was granted.
 			slot.Done(chiveschedule.Ending{Result: chiveschedule.ResultReturned})
 			continue
 		}
-		place := &slotPlace{m: m, slot: slot, started: time.Now(), before: m.answer.tokens}
-		m.places = append(m.places, place)
-		return place, nil
+		placement := &slotPlacement{run: run, slot: slot, startedAt: time.Now(), tokensBefore: run.response.tokens}
+		run.placements = append(run.placements, placement)
+		return placement, nil
 	}
 }
 
-var errNotAModel = errors.New("dispatch: a request without a model run asked for a slot")
+var errNotModelRequest = errors.New("dispatch: slot requested for a request that is not a model request")
 
-func refusedBy(err error) error {
+func toRefusedError(err error) error {
 	var refused *chiveschedule.RefusedError
 	if errors.As(err, &refused) {
 		return &chiveplace.RefusedError{Reason: refused.Reason, RetryAfter: refused.RetryAfter}
 	}
 	if errors.Is(err, chiveschedule.ErrNoPool) {
-		return &chiveplace.RefusedError{Reason: err.Error(), RetryAfter: minuteRetry}
+		return &chiveplace.RefusedError{Reason: err.Error(), RetryAfter: configRetryAfter}
 	}
 	return err
 }
 
-// slotPlace is a slot as the forwarder sees it.
-type slotPlace struct {
-	m       *modelRun
-	slot    *chiveschedule.Slot
-	started time.Time
-	// before and after are the tokens that had been delivered when the attempt began and ended.
-	before int64
-	after  int64
+// slotPlacement implements chiveforward.Place with a slot.
+type slotPlacement struct {
+	run       *modelRun
+	slot      *chiveschedule.Slot
+	startedAt time.Time
+	// tokensBefore and tokensAfter are the numbers of tokens delivered by the start and by the end of the attempt.
+	tokensBefore int64
+	tokensAfter  int64
 }
 
-// Target returns the endpoint.
-func (p *slotPlace) Target() chiveforward.Target {
-	return targetOf(p.slot.Endpoint())
+// Target returns the endpoint of the slot.
+func (p *slotPlacement) Target() chiveforward.Target {
+	return endpointTarget(p.slot.Endpoint())
 }
 
-// targetOf returns an endpoint of the own interface as the forwarder sees it: operators name it, and it does not tell one start of its process
-// from another.
-func targetOf(e chiveconfig.Endpoint) chiveforward.Target {
-	return chiveforward.Target{ID: e.Name, Incarnation: e.Name, Address: e.Address, FailureDomain: e.FailureDomain}
+// endpointTarget converts a configured endpoint for the forwarder. Its name, which the operator chose, also serves as
+// the incarnation, because these endpoints do not tell one start of their process from another.
+func endpointTarget(endpoint chiveconfig.Endpoint) chiveforward.Target {
+	return chiveforward.Target{ID: endpoint.Name, Incarnation: endpoint.Name, Address: endpoint.Address, FailureDomain: endpoint.FailureDomain}
 }
 
-// Why returns the scheduler's reason.
-func (p *slotPlace) Why() []slog.Attr {
+// Why returns the scheduler's reason for choosing the endpoint.
+func (p *slotPlacement) Why() []slog.Attr {
 	grant := p.slot.Grant()
 	return []slog.Attr{slog.String("because", grant.Reason), slog.Int("candidates", len(grant.Candidates)), slog.Int64("queued_ms", grant.QueuedMs)}
 }
 
-// Preempted is closed when the scheduler wants the slot back.
-func (p *slotPlace) Preempted() <-chan struct{} { return p.slot.Preempted() }
+// Preempted returns a channel that is closed when the scheduler reclaims the slot.
+func (p *slotPlacement) Preempted() <-chan struct{} { return p.slot.Preempted() }
 
-// Event does nothing: progress is told with the tokens.
-func (p *slotPlace) Event(time.Time, time.Duration) {}
+// Event does nothing: progress is reported with the delivered tokens.
+func (p *slotPlacement) Event(time.Time, time.Duration) {}
 
-// Leaving tells nothing here: these engines refuse new work while they leave, and finish what they have.
-func (p *slotPlace) Leaving(time.Time) bool { return false }
+// Leaving always returns false: while draining, these engines refuse new requests and finish the running ones.
+func (p *slotPlacement) Leaving(time.Time) bool { return false }
 
-// Eject does nothing here: the scheduler judges its engines by how their slots end.
-func (p *slotPlace) Eject(time.Time) {}
+// Eject does nothing: the scheduler rates its engines by the results of their slots.
+func (p *slotPlacement) Eject(time.Time) {}
 
-// FetchFrom names nobody: these engines move no parts.
-func (p *slotPlace) FetchFrom() string { return "" }
+// FetchFrom returns no address: these engines do not fetch cached prompt parts from each other.
+func (p *slotPlacement) FetchFrom() string { return "" }
 
-// Done gives the slot back.
-func (p *slotPlace) Done(now time.Time, ending chiveplace.Ending) time.Duration {
-	p.after = p.m.answer.tokens
-	lengths := p.lengths(now)
-	lengths.Result = slotResults[ending]
-	p.slot.Done(lengths)
+// Done releases the slot with the result of the attempt; an endpoint that refused it is reported as draining.
+func (p *slotPlacement) Done(now time.Time, ending chiveplace.Ending) time.Duration {
+	p.tokensAfter = p.run.response.tokens
+	report := p.attemptReport(now)
+	report.Result = slotResults[ending]
+	p.slot.Done(report)
 	if ending == chiveplace.EndedFull {
-		p.m.d.fleet.EndpointLeaves(p.slot.Endpoint().Address)
+		p.run.dispatcher.fleet.EndpointLeaves(p.slot.Endpoint().Address)
 	}
 	return 0
 }
@@ -201,28 +203,28 @@
 	chiveplace.EndedFull: chiveschedule.ResultRefused, chiveplace.EndedGone: chiveschedule.ResultRefused, chiveplace.EndedCaller: chiveschedule.ResultCancelled,
 }
 
-func (p *slotPlace) lengths(now time.Time) chiveschedule.Ending {
-	answer := p.m.answer
-	e := chiveschedule.Ending{Tokens: answer.tokens - p.before}
-	if p.before == 0 && answer.tokens > 0 {
-		e.First = answer.first.Sub(p.started)
+func (p *slotPlacement) attemptReport(now time.Time) chiveschedule.Ending {
+	response := p.run.response
+	report := chiveschedule.Ending{Tokens: response.tokens - p.tokensBefore}
+	if p.tokensBefore == 0 && response.tokens > 0 {
+		report.First = response.firstTokenAt.Sub(p.startedAt)
 	}
-	e.Stream = now.Sub(p.started) - e.First
-	return e
+	report.Stream = now.Sub(p.startedAt) - report.First
+	return report
 }
 
-// isGivenUp reports whether a result has no answer of an endpoint.
-func isGivenUp(result *chiveforward.Result) bool {
+// endedWithoutResponse reports whether no endpoint completed a response to the request.
+func endedWithoutResponse(result *chiveforward.Result) bool {
 	return result.Outcome == chiveforward.NotRun || result.Outcome == chiveforward.Unknown
 }
 
-// giveUp turns the forwarder's codes and times into those of the own callers' contract.
-func (r *Result) giveUp(from *chiveforward.Result) {
-	r.Code, r.Message, r.RetryAfter, r.Status = from.Code, from.Message, from.RetryAfter, from.Status
-	switch from.Code {
+// setFailure translates the forwarder's failure into the codes, statuses and retry times of the gateway's API.
+func (r *Result) setFailure(forwarded *chiveforward.Result) {
+	r.Code, r.Message, r.RetryAfter, r.Status = forwarded.Code, forwarded.Message, forwarded.RetryAfter, forwarded.Status
+	switch forwarded.Code {
 	case chiveforward.CodeDeadline, chiveforward.CodeCallerGone:
 		r.Code, r.Status = CodeDeadline, http.StatusGatewayTimeout
-		if len(from.Tries) == 0 && from.Code == chiveforward.CodeDeadline {
+		if len(forwarded.Tries) == 0 && forwarded.Code == chiveforward.CodeDeadline {
 			r.RetryAfter = time.Second
 		}
 	case chiveforward.CodeNoPlace, chiveforward.CodeRefused:
--- a/chivedispatch/model_run.go
+++ b/chivedispatch/model_run.go
@@ -12,43 +12,43 @@
 	"chivedrift/chivetable"
 )
 
-// progressEvery is how often the scheduler hears how an answer goes on.
-const progressEvery = 5 * time.Second
+// progressInterval is the time between progress reports to the scheduler.
+const progressInterval = 5 * time.Second
 
-// modelRun is one model request over all of its attempts: it lays out each attempt's body, takes the events of the engines'
-// streams, and holds an answer that came in one piece.
+// modelRun is the state of one model request over all of its attempts. It encodes the body of each attempt, handles the
+// events of the engines' streams and buffers a response that is not streamed.
 type modelRun struct {
-	d      *Dispatcher
-	work   *Work
-	sink   Sink
-	answer *Answer
-	number int
-	places []*slotPlace
-
-	progressed time.Time
-	status     int
-	content    []byte
+	dispatcher    *Dispatcher
+	request       *Work
+	sink          Sink
+	response      *Answer
+	attemptNumber int
+	placements    []*slotPlacement
+
+	lastProgress time.Time
+	status       int
+	responseBody []byte
 }
 
-func (m *modelRun) class() *chiveconfig.Class { return m.work.Class }
+func (m *modelRun) class() *chiveconfig.Class { return m.request.Class }
 
-// request is the work as the forwarder sees it.
-func (m *modelRun) request() *chiverequest.Request {
-	w := m.work
+// forwardRequest returns the request in the forwarder's form.
+func (m *modelRun) forwardRequest() *chiverequest.Request {
+	request := m.request
 	r := &chiverequest.Request{
-		ID: w.ID, Route: routeOf(w.Class, w.Repeatable, maxAttempts), Pool: w.Pool, Team: w.Team, Method: http.MethodPost, Target: w.Path, Content: w.Content,
-		Header: http.Header{"Content-Type": {"application/json"}}, Arrival: w.Arrival, Deadline: w.Deadline, Silence: w.Class.Stall(),
+		ID: request.ID, Route: routeForClass(request.Class, request.Repeatable, maxAttempts), Pool: request.Pool, Team: request.Team, Method: http.MethodPost, Target: request.Path, Content: request.Content,
+		Header: http.Header{"Content-Type": {"application/json"}}, Arrival: request.Arrival, Deadline: request.Deadline, Silence: request.Class.Stall(),
 		Stream: m, Source: m,
 	}
-	if w.Whole {
-		// The engine of an answer that is not streamed sends nothing until it is done; only the deadline bounds it.
+	if request.Whole {
+		// An engine that does not stream sends nothing until the response is complete; only the deadline limits it.
 		r.Silence = 0
 	}
 	return r
 }
 
-// routeOf is a class as the forwarder sees it.
-func routeOf(class *chiveconfig.Class, repeatable bool, attempts int) *chivetable.Route {
+// routeForClass returns a route with the settings of a class, for the forwarder.
+func routeForClass(class *chiveconfig.Class, repeatable bool, attempts int) *chivetable.Route {
 	route := &chivetable.Route{Name: class.Name, Target: class.FirstToken(), Attempts: attempts}
 	if repeatable {
 		route.Repeat = chivetable.RepeatResume
@@ -56,12 +56,12 @@
 	return route
 }
 
-// body lays out an attempt, with where to go on.
-func (m *modelRun) body() ([]byte, error) {
-	return m.work.body(m.answer, m.places[len(m.places)-1].slot.Grant().Priority)
+// requestBody encodes the body of the current attempt, with the position to resume from.
+func (m *modelRun) requestBody() ([]byte, error) {
+	return m.request.requestBody(m.response, m.placements[len(m.placements)-1].slot.Grant().Priority)
 }
 
-// Event passes on the chunks of one event.
+// Event parses the chunks of one event and delivers them to the caller.
 func (m *modelRun) Event(data []byte, _ string, more bool) (ended bool, err error) {
 	for len(data) > 0 {
 		line, rest, _ := bytes.Cut(data, newline)
@@ -82,75 +82,76 @@
 
 var newline = []byte("\n")
 
-// Whole tells that nothing is missing once the finish reason has come.
-func (m *modelRun) Whole() bool { return m.answer.complete() }
+// Whole reports whether the finish reason has been received, so that no text is missing.
+func (m *modelRun) Whole() bool { return m.response.isComplete() }
 
 func (m *modelRun) deliver(c chunk, more bool) error {
-	if m.answer.complete() && len(c.usage) == 0 {
+	if m.response.isComplete() && len(c.usage) == 0 {
 		return nil
 	}
 	now := time.Now()
-	m.answer.add(now, c)
+	m.response.addChunk(now, c)
 	if len(c.text) > 0 {
-		m.report(now)
+		m.reportProgress(now)
 	}
 	return m.sink.Event(c.data, more)
 }
 
-// report tells the scheduler of the first token and then now and again, so that it notices a straggler before a long answer ends.
-func (m *modelRun) report(now time.Time) {
-	place := m.places[len(m.places)-1]
-	if m.progressed.After(place.started) && now.Sub(m.progressed) < progressEvery {
+// reportProgress reports the first token of an attempt to the scheduler and then its progress at intervals, so that the
+// scheduler detects a slow engine before a long response ends.
+func (m *modelRun) reportProgress(now time.Time) {
+	placement := m.placements[len(m.placements)-1]
+	if m.lastProgress.After(placement.startedAt) && now.Sub(m.lastProgress) < progressInterval {
 		return
 	}
-	m.progressed = now
-	place.slot.Progress(place.lengths(now))
+	m.lastProgress = now
+	placement.slot.Progress(placement.attemptReport(now))
 }
 
-// Start takes the head of an answer that is no stream.
+// Start records the status of a response that is not streamed.
 func (m *modelRun) Start(status int, _ http.Header) { m.status = status }
 
-// Write takes a piece of such an answer.
+// Write appends to the body of a response that is not streamed.
 func (m *modelRun) Write(data []byte, _ bool) error {
-	m.content = append(m.content, data...)
+	m.responseBody = append(m.responseBody, data...)
 	return nil
 }
 
-// finish turns the forwarder's result into the one that callers and explanations know.
-func (m *modelRun) finish(from *chiveforward.Result) Result {
-	r := Result{Outcome: from.Outcome, Status: http.StatusOK, Body: m.content}
+// toResult converts the forwarder's result into a Result.
+func (m *modelRun) toResult(forwarded *chiveforward.Result) Result {
+	r := Result{Outcome: forwarded.Outcome, Status: http.StatusOK, Body: m.responseBody}
 	switch {
-	case isGivenUp(from):
-		r.giveUp(from)
-		m.d.waste.addThrown(m.answer.tokens)
+	case endedWithoutResponse(forwarded):
+		r.setFailure(forwarded)
+		m.dispatcher.waste.addDiscarded(m.response.tokens)
 	case m.status != 0 && m.status != http.StatusOK:
 		r.Outcome, r.Status = Failed, m.status
 		r.Code, r.Message = CodeEndpointError, "the endpoint answered with an error"
 	}
-	for i, t := range from.Tries {
-		m.note(&r, i, t, from)
+	for i, attempt := range forwarded.Tries {
+		m.addAttempt(&r, i, attempt, forwarded)
 	}
 	return r
 }
 
-func (m *modelRun) note(r *Result, i int, t chiveforward.Try, from *chiveforward.Result) {
-	place := m.places[i]
-	grant := place.slot.Grant()
-	r.Queued += time.Duration(grant.QueuedMs) * time.Millisecond
-	a := Attempt{
-		Number: i + 1, Endpoint: grant.Endpoint, Reason: grant.Reason, Candidates: grant.Candidates, QueuedMs: grant.QueuedMs,
-		Resumed: place.before, Tokens: place.after - place.before, Ended: endedWord(t, from), Touched: t.Touched,
+func (m *modelRun) addAttempt(result *Result, index int, attempt chiveforward.Try, forwarded *chiveforward.Result) {
+	placement := m.placements[index]
+	grant := placement.slot.Grant()
+	result.Queued += time.Duration(grant.QueuedMs) * time.Millisecond
+	entry := Attempt{
+		Number: index + 1, Endpoint: grant.Endpoint, Reason: grant.Reason, Candidates: grant.Candidates, QueuedMs: grant.QueuedMs,
+		Resumed: placement.tokensBefore, Tokens: placement.tokensAfter - placement.tokensBefore, Ended: endReason(attempt, forwarded), Touched: attempt.Touched,
 	}
-	if t.Err != nil {
-		a.Error = t.Err.Error()
+	if attempt.Err != nil {
+		entry.Error = attempt.Err.Error()
 	}
-	r.Attempts = append(r.Attempts, a)
-	if t.Touched && i+1 < len(from.Tries) {
-		m.d.waste.addRepeat(m.work.PromptTokens)
+	result.Attempts = append(result.Attempts, entry)
+	if attempt.Touched && index+1 < len(forwarded.Tries) {
+		m.dispatcher.waste.addRepeatedPrompt(m.request.PromptTokens)
 	}
 }
 
-// Words for how an attempt ended, as explanations show them.
+// Values of Attempt.Ended.
 const (
 	endedComplete = "complete"
 	endedBroken   = "broken"
@@ -160,26 +161,26 @@
 	endedDeadline = "deadline"
 )
 
-// endedWord is the explanation's word for a try.
-func endedWord(t chiveforward.Try, from *chiveforward.Result) string {
-	switch t.Ended {
+// endReason returns the value of Attempt.Ended for an attempt of the forwarder.
+func endReason(attempt chiveforward.Try, forwarded *chiveforward.Result) string {
+	switch attempt.Ended {
 	case "complete":
-		if t.Status >= http.StatusBadRequest {
+		if attempt.Status >= http.StatusBadRequest {
 			return endedError
 		}
 		return endedComplete
 	case "endpoint_error":
 		return endedError
 	case "broken", "unreached":
-		if errors.Is(t.Err, chiveforward.ErrSilent) {
+		if errors.Is(attempt.Err, chiveforward.ErrSilent) {
 			return endedStalled
 		}
 		return endedBroken
 	case "given_up":
-		if from.Code == chiveforward.CodeCallerGone {
+		if forwarded.Code == chiveforward.CodeCallerGone {
 			return endedCaller
 		}
 		return endedDeadline
 	}
-	return t.Ended
+	return attempt.Ended
 }
--- a/chivedispatch/outcome.go
+++ b/chivedispatch/outcome.go
@@ -4,10 +4,10 @@
 	"chivedrift/chiveforward"
 )
 
-// Outcome is the one word that every request ends with.
+// Outcome states what is known about an ended request.
 type Outcome = chiveforward.Outcome
 
-// The outcomes, as the forwarder knows them.
+// The outcomes of chiveforward.
 const (
 	Completed = chiveforward.Completed
 	NotRun    = chiveforward.NotRun
--- a/chivedispatch/service.go
+++ b/chivedispatch/service.go
@@ -18,7 +18,7 @@
 	"chivedrift/chiveroute"
 )
 
-// ServiceWork is one request to a plain service as the gateway accepted it.
+// ServiceWork is a request to a plain service that the gateway has accepted.
 type ServiceWork struct {
 	ID         string
 	Pool       string
@@ -34,7 +34,8 @@
 	Repeatable bool
 }
 
-// ServiceAnswer is a service's answer: what was read of the body, and the rest of a large one.
+// ServiceAnswer is the response of a plain service. Body holds the start of the body, Rest the remainder of a large
+// one; Rest is nil if Body is complete.
 type ServiceAnswer struct {
 	Status int
 	Header http.Header
@@ -42,26 +43,26 @@
 	Rest   io.ReadCloser
 }
 
-const maxTries = 4
+const maxServiceAttempts = 4
 
-// Services chooses replicas of plain services and calls them.
+// Services runs requests to plain services on replicas that it chooses.
 type Services struct {
-	d       *Dispatcher
-	forward *chiveforward.Forwarder
-	region  string
-	mu      sync.Mutex
-	pools   map[string]*chiveroute.Local
-	config  *chiveconfig.Config
+	dispatcher *Dispatcher
+	forwarder  *chiveforward.Forwarder
+	region     string
+	mu         sync.Mutex
+	pools      map[string]*chiveroute.Local
+	config     *chiveconfig.Config
 }
 
-// NewServices returns a chooser without pools that shares the dispatcher's retry budget.
-func NewServices(d *Dispatcher, region string) *Services {
-	s := &Services{d: d, region: region, pools: make(map[string]*chiveroute.Local)}
-	s.forward = d.newForwarder(s, maxTries)
+// NewServices returns a Services without pools that shares the dispatcher's retry budget.
+func NewServices(dispatcher *Dispatcher, region string) *Services {
+	s := &Services{dispatcher: dispatcher, region: region, pools: make(map[string]*chiveroute.Local)}
+	s.forwarder = dispatcher.newForwarder(s, maxServiceAttempts)
 	return s
 }
 
-// SetConfig takes a configuration that came into force.
+// SetConfig applies a new configuration.
 func (s *Services) SetConfig(config *chiveconfig.Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,7 +79,7 @@
 	}
 }
 
-// SetLeaving takes the addresses of endpoints that take no new work.
+// SetLeaving marks the endpoints at the given addresses as draining.
 func (s *Services) SetLeaving(addresses []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,13 +90,13 @@
 	}
 }
 
-// Start begins to look after idle connections.
-func (s *Services) Start(ctx context.Context) error { return s.forward.Start(ctx) }
+// Start starts the forwarder's background tasks, such as closing idle connections.
+func (s *Services) Start(ctx context.Context) error { return s.forwarder.Start(ctx) }
 
-// Stop closes idle connections.
-func (s *Services) Stop(ctx context.Context) error { return s.forward.Stop(ctx) }
+// Stop closes idle connections to replicas.
+func (s *Services) Stop(ctx context.Context) error { return s.forwarder.Stop(ctx) }
 
-// Dump returns the replicas of each pool.
+// Dump returns the state of each pool's replicas.
 func (s *Services) Dump() any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,12 +107,13 @@
 	return dump
 }
 
-// PeerFailure takes a failure of a replica that another node found, and returns when it was alive later.
+// PeerFailure handles a replica failure that another node detected. If the replica has answered this node since the
+// failure, alive is the time of that response, else the zero time.
 func (s *Services) PeerFailure(failure chivehealth.Failure) (alive time.Time) {
-	return s.forward.PeerFailure(failure)
+	return s.forwarder.PeerFailure(failure)
 }
 
-// Take reserves a place on a replica.
+// Take reserves capacity on a replica in an allowed region.
 func (s *Services) Take(_ context.Context, request *chiverequest.Request, exclude []string) (chiveforward.Place, error) {
 	s.mu.Lock()
 	pool := s.pools[request.Pool]
@@ -121,157 +123,160 @@
 	}
 	s.mu.Unlock()
 	if residency.AllowsNone() {
-		return nil, &chiveplace.RefusedError{Reason: "no region is allowed for the class and the team", RetryAfter: minuteRetry}
+		return nil, &chiveplace.RefusedError{Reason: "no region is allowed for the class and the team", RetryAfter: configRetryAfter}
 	}
 	if pool != nil {
-		if endpoint, taken := pool.Take(time.Now(), s.region, residency, exclude); taken {
-			return &replicaPlace{s: s, pool: pool, endpoint: endpoint, began: time.Now(), deadline: request.Deadline}, nil
+		if endpoint, reserved := pool.Take(time.Now(), s.region, residency, exclude); reserved {
+			return &replicaPlacement{services: s, pool: pool, endpoint: endpoint, startedAt: time.Now(), deadline: request.Deadline}, nil
 		}
 	}
 	return nil, &chiveplace.RefusedError{Reason: "no replica is up with room", RetryAfter: time.Second}
 }
 
-// replicaPlace is a place on a replica as the forwarder sees it.
-type replicaPlace struct {
-	s        *Services
-	pool     *chiveroute.Local
-	endpoint chiveconfig.Endpoint
-	began    time.Time
-	deadline time.Time
+// replicaPlacement implements chiveforward.Place with a replica.
+type replicaPlacement struct {
+	services  *Services
+	pool      *chiveroute.Local
+	endpoint  chiveconfig.Endpoint
+	startedAt time.Time
+	deadline  time.Time
 }
 
-const reasonFewer = "fewer_in_flight_of_two"
+const reasonFewerInFlight = "fewer_in_flight_of_two"
 
 // Target returns the replica.
-func (p *replicaPlace) Target() chiveforward.Target { return targetOf(p.endpoint) }
+func (p *replicaPlacement) Target() chiveforward.Target { return endpointTarget(p.endpoint) }
 
-// Why returns the reason for the choice.
-func (p *replicaPlace) Why() []slog.Attr { return []slog.Attr{slog.String("because", reasonFewer)} }
+// Why returns the reason for choosing the replica.
+func (p *replicaPlacement) Why() []slog.Attr {
+	return []slog.Attr{slog.String("because", reasonFewerInFlight)}
+}
 
-// Preempted never happens to plain services.
-func (p *replicaPlace) Preempted() <-chan struct{} { return nil }
+// Preempted returns nil: requests to plain services are not preempted.
+func (p *replicaPlacement) Preempted() <-chan struct{} { return nil }
 
 // Event does nothing.
-func (p *replicaPlace) Event(time.Time, time.Duration) {}
+func (p *replicaPlacement) Event(time.Time, time.Duration) {}
 
-// Leaving tells nothing here: replicas refuse new work while they leave, and finish what they have.
-func (p *replicaPlace) Leaving(time.Time) bool { return false }
+// Leaving always returns false: while draining, replicas refuse new requests and finish the running ones.
+func (p *replicaPlacement) Leaving(time.Time) bool { return false }
 
-// Eject does nothing here: the chooser judges its replicas by how their requests end.
-func (p *replicaPlace) Eject(time.Time) {}
+// Eject does nothing: the pool rates its replicas by the results of their requests.
+func (p *replicaPlacement) Eject(time.Time) {}
 
-// FetchFrom names nobody: plain services hold no prompts.
-func (p *replicaPlace) FetchFrom() string { return "" }
+// FetchFrom returns no address: plain services do not cache prompts.
+func (p *replicaPlacement) FetchFrom() string { return "" }
 
-// Done gives the place back; a replica that refuses is leaving, which the fleet hears.
-func (p *replicaPlace) Done(now time.Time, ending chiveplace.Ending) time.Duration {
+// Done releases the reservation. A replica that refused the request is marked and reported as draining.
+func (p *replicaPlacement) Done(now time.Time, ending chiveplace.Ending) time.Duration {
 	callerGone := ending == chiveplace.EndedCaller && now.Before(p.deadline)
-	well := ending == chiveplace.EndedWell || ending == chiveplace.EndedError || callerGone
-	p.pool.Release(now, p.endpoint.Name, now.Sub(p.began), well)
+	succeeded := ending == chiveplace.EndedWell || ending == chiveplace.EndedError || callerGone
+	p.pool.Release(now, p.endpoint.Name, now.Sub(p.startedAt), succeeded)
 	if ending == chiveplace.EndedFull {
 		p.pool.Leaving(now, p.endpoint.Address)
-		p.s.d.fleet.EndpointLeaves(p.endpoint.Address)
+		p.services.dispatcher.fleet.EndpointLeaves(p.endpoint.Address)
 	}
 	return 0
 }
 
-// Run carries a service request through to its outcome; the answer is nil when no endpoint gave one. Of a large body the rest
-// comes while the forwarder still runs.
-func (s *Services) Run(parent context.Context, work *ServiceWork) (Result, *ServiceAnswer) {
+// Run runs a service request to its outcome; the response is nil if no endpoint gave one. Run returns before a large
+// body has been received completely: the remainder is read from Rest while the forwarder is still running.
+func (s *Services) Run(parent context.Context, request *ServiceWork) (Result, *ServiceAnswer) {
 	ctx, cancel := context.WithCancel(parent)
-	r := &serviceRun{work: work, ready: make(chan struct{}), cancel: cancel}
+	r := &serviceRun{request: request, ready: make(chan struct{}), cancel: cancel}
 	go func() {
-		result := s.forward.Run(ctx, r.request(), r)
-		r.end(result)
+		result := s.forwarder.Run(ctx, r.forwardRequest(), r)
+		r.handleResult(result)
 	}()
 	<-r.ready
-	return r.result, r.answer
+	return r.result, r.response
 }
 
-// serviceRun is one service request over all of its attempts, and the sink of its answer.
+// serviceRun is the state of one service request over all of its attempts, and the sink of its response.
 type serviceRun struct {
-	work   *ServiceWork
-	cancel context.CancelFunc
-	once   sync.Once
-	ready  chan struct{}
-	rest   *io.PipeWriter
-	result Result
-	answer *ServiceAnswer
+	request    *ServiceWork
+	cancel     context.CancelFunc
+	readyOnce  sync.Once
+	ready      chan struct{}
+	restWriter *io.PipeWriter
+	result     Result
+	response   *ServiceAnswer
 }
 
-func (r *serviceRun) class() *chiveconfig.Class { return r.work.Class }
+func (r *serviceRun) class() *chiveconfig.Class { return r.request.Class }
 
-// request is the work as the forwarder sees it.
-func (r *serviceRun) request() *chiverequest.Request {
-	w := r.work
+// forwardRequest returns the request in the forwarder's form.
+func (r *serviceRun) forwardRequest() *chiverequest.Request {
+	request := r.request
 	return &chiverequest.Request{
-		ID: w.ID, Route: routeOf(w.Class, w.Repeatable, maxTries), Pool: w.Pool, Team: w.Team, Method: w.Method, Target: w.Path, Header: w.Header,
-		Body: w.Body, Content: w.Content, Arrival: w.Arrival, Deadline: w.Deadline, Silence: w.Class.Stall(), Stream: nil, Source: r,
+		ID: request.ID, Route: routeForClass(request.Class, request.Repeatable, maxServiceAttempts), Pool: request.Pool, Team: request.Team, Method: request.Method, Target: request.Path, Header: request.Header,
+		Body: request.Body, Content: request.Content, Arrival: request.Arrival, Deadline: request.Deadline, Silence: request.Class.Stall(), Stream: nil, Source: r,
 	}
 }
 
-// Start takes the head of the answer.
+// Start records the status and the header of the response.
 func (r *serviceRun) Start(status int, header http.Header) {
-	r.answer = &ServiceAnswer{Status: status, Header: header}
+	r.response = &ServiceAnswer{Status: status, Header: header}
 	r.result.Status, r.result.Outcome = status, Completed
 	if status >= http.StatusBadRequest {
 		r.result.Outcome = Failed
 	}
 }
 
-// Write takes the body: the first piece with the head, further ones, of a large body, through a pipe.
+// Write takes a chunk of the body. The first chunk is returned with the status and header; the first further chunk, of
+// a large body, makes Run return and is passed on through a pipe, as are all after it.
 func (r *serviceRun) Write(data []byte, _ bool) error {
-	if r.answer.Body == nil {
-		r.answer.Body = append([]byte{}, data...)
+	if r.response.Body == nil {
+		r.response.Body = append([]byte{}, data...)
 		return nil
 	}
-	if r.rest == nil {
+	if r.restWriter == nil {
 		reader, writer := io.Pipe()
-		r.answer.Rest, r.rest = &cancelling{ReadCloser: reader, cancel: r.cancel}, writer
-		r.once.Do(func() { close(r.ready) })
+		r.response.Rest, r.restWriter = &cancelOnClose{ReadCloser: reader, cancel: r.cancel}, writer
+		r.readyOnce.Do(func() { close(r.ready) })
 	}
-	_, err := r.rest.Write(data)
-	return err //nolint:wrapcheck // says that the caller is gone
+	_, err := r.restWriter.Write(data)
+	return err //nolint:wrapcheck // only means that the caller has disconnected
 }
 
-// errCut is what the reader of a large body sees when its endpoint broke off.
-var errCut = errors.New("dispatch: the endpoint broke off inside the body")
+// errBodyTruncated is returned by Rest if the endpoint does not complete the body.
+var errBodyTruncated = errors.New("dispatch: response body truncated by the endpoint")
 
-// end is the end of the forwarder's run.
-func (r *serviceRun) end(from chiveforward.Result) {
-	if r.rest != nil {
+// handleResult handles the end of the forwarder's run: it closes the pipe of a large body, or makes Run return.
+func (r *serviceRun) handleResult(forwarded chiveforward.Result) {
+	if r.restWriter != nil {
 		var err error
-		if isGivenUp(&from) {
-			err = errCut
+		if endedWithoutResponse(&forwarded) {
+			err = errBodyTruncated
 		}
-		// Closing a pipe never fails.
-		_ = r.rest.CloseWithError(err)
+		// Closing a pipe writer never fails.
+		_ = r.restWriter.CloseWithError(err)
 		return
 	}
 	defer r.cancel()
-	if isGivenUp(&from) {
-		r.answer = nil
-		r.result = Result{Outcome: from.Outcome}
-		r.result.giveUp(&from)
+	if endedWithoutResponse(&forwarded) {
+		r.response = nil
+		r.result = Result{Outcome: forwarded.Outcome}
+		r.result.setFailure(&forwarded)
 	}
-	for i, t := range from.Tries {
-		a := Attempt{Number: i + 1, Endpoint: t.Endpoint, Reason: reasonFewer, Touched: t.Touched, Ended: endedWord(t, &from)}
-		if t.Err != nil {
-			a.Error = t.Err.Error()
+	for i, attempt := range forwarded.Tries {
+		entry := Attempt{Number: i + 1, Endpoint: attempt.Endpoint, Reason: reasonFewerInFlight, Touched: attempt.Touched, Ended: endReason(attempt, &forwarded)}
+		if attempt.Err != nil {
+			entry.Error = attempt.Err.Error()
 		}
-		r.result.Attempts = append(r.result.Attempts, a)
+		r.result.Attempts = append(r.result.Attempts, entry)
 	}
-	r.once.Do(func() { close(r.ready) })
+	r.readyOnce.Do(func() { close(r.ready) })
 }
 
-// cancelling ends the request's context when the rest of a large body has been passed on.
-type cancelling struct {
+// cancelOnClose cancels the request's context when the reader of the remaining body is closed.
+type cancelOnClose struct {
 	io.ReadCloser
 	cancel context.CancelFunc
 }
 
-// Close closes the body and ends the request.
-func (c *cancelling) Close() error {
+// Close closes the body and cancels the request.
+func (c *cancelOnClose) Close() error {
 	defer c.cancel()
-	return c.ReadCloser.Close() //nolint:wrapcheck // nobody reads it
+	return c.ReadCloser.Close() //nolint:wrapcheck // no caller uses the error
 }
--- a/chivedispatch/waste.go
+++ b/chivedispatch/waste.go
@@ -4,22 +4,23 @@
 	"sync/atomic"
 )
 
-// Waste counts work that endpoints did for nothing, in tokens.
+// Waste counts the tokens that endpoints processed without use to a caller.
 type Waste struct {
-	thrown   atomic.Int64
-	repeated atomic.Int64
+	discarded      atomic.Int64
+	repeatedPrompt atomic.Int64
 }
 
-// WasteState is the dump of the waste.
+// WasteState holds the counts since the process started: tokens delivered for requests that were then given up, and
+// prompt tokens of attempts after which the request was sent again.
 type WasteState struct {
 	ThrownTokens   int64 `json:"thrown_tokens"`
 	RepeatedTokens int64 `json:"repeated_prompt_tokens"`
 }
 
-func (w *Waste) addThrown(tokens int64) { w.thrown.Add(tokens) }
-func (w *Waste) addRepeat(prompt int64) { w.repeated.Add(prompt) }
+func (w *Waste) addDiscarded(tokens int64)      { w.discarded.Add(tokens) }
+func (w *Waste) addRepeatedPrompt(tokens int64) { w.repeatedPrompt.Add(tokens) }
 
-// State returns the sums since the start.
+// State returns the current counts.
 func (w *Waste) State() WasteState {
-	return WasteState{ThrownTokens: w.thrown.Load(), RepeatedTokens: w.repeated.Load()}
+	return WasteState{ThrownTokens: w.discarded.Load(), RepeatedTokens: w.repeatedPrompt.Load()}
 }
