--- a/chiveentry/conn.go
+++ b/chiveentry/conn.go
@@ -11,17 +11,19 @@
 	"chivedrift/chivetable"
 )
 
-// callerConn is one caller's connection and whether a request is being served on it.
+// callerConn is a caller's connection with its state.
 //
-// A planned stop closes idle connections. net/http calls a connection idle until it has read a whole header, so its own way
-// of closing them can hit one whose request is just being read: the request would be passed on and its caller cut off. Here
-// closing and serving compete for the state, and only one of them wins.
+// A graceful shutdown closes idle connections. net/http considers a connection idle until it has read a complete
+// header, so its own Shutdown can close a connection on which a request is being read: the request would be forwarded
+// and its caller would get no response. Here closing a connection and serving a request on it are atomic transitions of
+// the same state, of which only one succeeds.
 type callerConn struct {
 	net.Conn
 	state atomic.Int32
-	// since is when the connection began to wait: for a request, or for the rest of its header once reading is set.
-	since   time.Time
-	reading bool
+	// waitingSince is the time since which the connection has been waiting for a request or, if readingHeader is set,
+	// for the rest of a header.
+	waitingSince  time.Time
+	readingHeader bool
 }
 
 const (
@@ -31,24 +33,24 @@
 	connClosed
 )
 
-type connKey struct{}
+type connContextKey struct{}
 
-// serve claims the connection for a request; it fails when the stop has closed the connection.
-func (c *callerConn) serve() bool {
+// startServing marks the connection as serving a request; it returns false if the connection has been closed.
+func (c *callerConn) startServing() bool {
 	return c.state.CompareAndSwap(connIdle, connServing) || c.state.CompareAndSwap(connNew, connServing)
 }
 
-// closeIdle closes the connection if no request is being served on it and one has been before: a new connection is about
-// to bring its first.
+// closeIdle closes the connection if it has served a request and is not serving one now. A new connection is left open,
+// since its first request is about to arrive.
 func (c *callerConn) closeIdle() {
 	if c.state.CompareAndSwap(connIdle, connClosed) {
-		// The connection is given up; what its closing says does not matter any more.
+		// The connection is no longer used, so an error from closing it does not matter.
 		_ = c.Close()
 	}
 }
 
-// closeWaiting closes the connection if no request is being served on it, also when none has been before.
-func (c *callerConn) closeWaiting() {
+// closeUnlessServing closes the connection if it is not serving a request, even if it never has.
+func (c *callerConn) closeUnlessServing() {
 	if c.state.CompareAndSwap(connNew, connClosed) {
 		// As in closeIdle.
 		_ = c.Close()
@@ -57,76 +59,76 @@
 	c.closeIdle()
 }
 
-// callerConns are the open connections of callers.
+// callerConns tracks the open connections of callers.
 type callerConns struct {
 	mu   sync.Mutex
 	open map[net.Conn]*callerConn
-	// closing tells that a connection goes as soon as it is idle.
-	closing bool
+	// closeWhenIdle is set once each connection is to be closed as soon as it is idle.
+	closeWhenIdle bool
 }
 
 func newCallerConns() *callerConns { return &callerConns{open: make(map[net.Conn]*callerConn)} }
 
-// enter is net/http's hook for a new connection.
-func (c *callerConns) enter(ctx context.Context, conn net.Conn) context.Context {
-	entered := &callerConn{Conn: conn, since: time.Now()}
+// connContext is the ConnContext hook of http.Server: it registers a new connection.
+func (c *callerConns) connContext(ctx context.Context, conn net.Conn) context.Context {
+	tracked := &callerConn{Conn: conn, waitingSince: time.Now()}
 	c.mu.Lock()
-	c.open[conn] = entered
+	c.open[conn] = tracked
 	c.mu.Unlock()
-	return context.WithValue(ctx, connKey{}, entered)
+	return context.WithValue(ctx, connContextKey{}, tracked)
 }
 
-// changed is net/http's hook for the state of a connection; it calls idle only once an answer is written out.
-func (c *callerConns) changed(conn net.Conn, state http.ConnState) {
+// connState is the ConnState hook of http.Server, which reports StateIdle only after a response has been written out.
+func (c *callerConns) connState(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	entered := c.open[conn]
+	tracked := c.open[conn]
 	switch {
-	case entered == nil:
+	case tracked == nil:
 	case state == http.StateActive:
-		entered.since, entered.reading = time.Now(), true
+		tracked.waitingSince, tracked.readingHeader = time.Now(), true
 	case state == http.StateIdle:
-		entered.since, entered.reading = time.Now(), false
-		entered.state.CompareAndSwap(connServing, connIdle)
-		// An answer that began before the stop could not ask its caller to leave. Were its connection left open until the next
-		// look, the caller's next request would be taken too late to be finished.
-		if c.closing {
-			entered.closeIdle()
+		tracked.waitingSince, tracked.readingHeader = time.Now(), false
+		tracked.state.CompareAndSwap(connServing, connIdle)
+		// A response that started before the shutdown carried no "Connection: close". If its connection stayed open,
+		// the caller could send another request too late for it to be completed.
+		if c.closeWhenIdle {
+			tracked.closeIdle()
 		}
 	case state == http.StateClosed, state == http.StateHijacked:
 		delete(c.open, conn)
 	}
 }
 
-// closeIdle closes the connections that are idle, and from now on each as soon as it is.
+// closeIdle closes the idle connections, and from now on every other one as soon as it becomes idle.
 func (c *callerConns) closeIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.closing = true
+	c.closeWhenIdle = true
 	for _, conn := range c.open {
 		conn.closeIdle()
 	}
 }
 
-// closeLate closes the connections that have waited for longer than the operator allows; zero means no bound. Serving and closing
-// compete here too, so that no request is cut that was read in the last moment.
-func (c *callerConns) closeLate(now time.Time, limits chivetable.Limits) {
+// closeTimedOut closes the connections that have been waiting for longer than the configured limits; zero means no
+// limit. A connection whose request has been read in the meantime is not closed.
+func (c *callerConns) closeTimedOut(now time.Time, limits chivetable.Limits) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, conn := range c.open {
-		most := limits.IdleTime
-		if conn.reading {
-			most = limits.HeaderTime
+		limit := limits.IdleTime
+		if conn.readingHeader {
+			limit = limits.HeaderTime
 		}
-		if most > 0 && now.Sub(conn.since) > most {
-			conn.closeWaiting()
+		if limit > 0 && now.Sub(conn.waitingSince) > limit {
+			conn.closeUnlessServing()
 		}
 	}
 }
 
-// connOf returns the connection of a request, nil where it came without one.
-func connOf(r *http.Request) *callerConn {
-	conn, ok := r.Context().Value(connKey{}).(*callerConn)
+// connOfRequest returns the connection of a request, or nil if it did not arrive through the server.
+func connOfRequest(r *http.Request) *callerConn {
+	conn, ok := r.Context().Value(connContextKey{}).(*callerConn)
 	if !ok {
 		return nil
 	}
--- a/chiveentry/bounds_test.go
+++ b/chiveentry/conn_test.go
@@ -11,19 +11,19 @@
 	"chivedrift/chivetable"
 )
 
-// closedWithin returns after how long the other end closed a connection.
-func closedWithin(t *testing.T, conn net.Conn, most time.Duration) time.Duration {
+// waitForClose waits until the other end closes a connection and returns the time that took.
+func waitForClose(t *testing.T, conn net.Conn, limit time.Duration) time.Duration {
 	t.Helper()
-	began := time.Now()
-	conn.SetReadDeadline(began.Add(most))
+	start := time.Now()
+	conn.SetReadDeadline(start.Add(limit))
 	if _, err := io.Copy(io.Discard, conn); err != nil {
-		t.Fatalf("not closed within %v: %v", most, err)
+		t.Fatalf("connection not closed within %v: %v", limit, err)
 	}
-	return time.Since(began)
+	return time.Since(start)
 }
 
-// Guards against idle and half-sent connections that outlive the configured limits.
-func TestConnectionsThatWaitTooLongAreClosed(t *testing.T) {
+// Guards against connections that stay open, idle or with an incomplete header, beyond the configured limits.
+func TestClosesConnectionsPastTimeouts(t *testing.T) {
 	forwarder := &fakeForwarder{}
 	e, address := startEntry(t, forwarder)
 	table, err := chivetable.New(chivetable.Spec{
@@ -45,15 +45,15 @@
 		t.Fatal(err)
 	}
 	defer idle.Close()
-	from := bufio.NewReader(idle)
-	response, err := ask(t, idle, from, "/one")
+	reader := bufio.NewReader(idle)
+	response, err := sendGet(t, idle, reader, "/one")
 	if err != nil || response.StatusCode != http.StatusOK {
 		t.Fatalf("%v, %v", response, err)
 	}
 	io.WriteString(slow, "GET /slow HTTP/1.1\r\nHost: a.ex")
-	header := closedWithin(t, slow, 4*time.Second)
-	waited := header + closedWithin(t, idle, 4*time.Second)
-	if header < 500*time.Millisecond || waited < 1400*time.Millisecond {
-		t.Errorf("half a header was given %v, an idle connection %v", header, waited)
+	headerTimeout := waitForClose(t, slow, 4*time.Second)
+	idleTimeout := headerTimeout + waitForClose(t, idle, 4*time.Second)
+	if headerTimeout < 500*time.Millisecond || idleTimeout < 1400*time.Millisecond {
+		t.Errorf("a connection with an incomplete header was closed after %v, an idle one after %v", headerTimeout, idleTimeout)
 	}
 }
--- a/chiveentry/failure.go
+++ b/chiveentry/failure.go
@@ -11,20 +11,20 @@
 	"chivedrift/chiverequest"
 )
 
-// FailureError is an answer that is not an endpoint's.
+// FailureError is an error response of the router itself, as opposed to one from an endpoint.
 type FailureError struct {
 	Status  int
 	Code    string
 	Message string
 	Outcome chiveforward.Outcome
-	// RetryAfter is when the caller should come back; zero where that makes no sense.
+	// RetryAfter is the value of the Retry-After header; zero omits it.
 	RetryAfter time.Duration
 }
 
-// Error returns the message, so that a failure can travel as an error.
+// Error returns the message.
 func (f *FailureError) Error() string { return f.Message }
 
-func refusal(status int, code, message string) *FailureError {
+func newRefusal(status int, code, message string) *FailureError {
 	return &FailureError{Status: status, Code: code, Message: message, Outcome: chiveforward.NotRun}
 }
 
@@ -39,7 +39,8 @@
 	RequestID string               `json:"request_id"`
 }
 
-// write answers with the failure; the time to come back is in seconds with a fraction, since most waits are under one.
+// write writes the error response. Retry-After is in seconds with a fraction, since most waits are shorter than a
+// second.
 func (f *FailureError) write(w http.ResponseWriter, dialect chiverequest.CallerDialect, id string) {
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
@@ -49,15 +50,15 @@
 	}
 	body, err := json.Marshal(failureBody{failureFields{f.Code, f.Message, f.Outcome, id}})
 	if err != nil {
-		// Four strings always encode; should they not one day, the status still tells the outcome.
+		// Encoding four strings does not fail; if it did, the status would still describe the failure.
 		body = nil
 	}
 	w.WriteHeader(f.Status)
-	// When this fails the caller is gone, and nobody is left to tell.
+	// An error means that the caller has disconnected.
 	_, _ = w.Write(body)
 }
 
-func splitList(value string) []string {
+func splitCommaList(value string) []string {
 	fields := strings.Split(value, ",")
 	for i := range fields {
 		fields[i] = strings.TrimSpace(fields[i])
--- a/chiveentry/dialect.go
+++ b/chiveentry/header.go
@@ -4,20 +4,20 @@
 	"net/http"
 )
 
-// connectionFields belong to one connection and are never passed on.
-var connectionFields = []string{
+// hopByHopHeaders apply to a single connection and are never forwarded.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding",
 	"Upgrade", "Expect",
 }
 
-// DropConnectionFields removes what concerns one connection only, also the fields that it names itself.
+// DropConnectionFields removes the hop-by-hop headers, including those that the Connection header names.
 func DropConnectionFields(header http.Header) {
 	for _, value := range header["Connection"] {
-		for _, name := range splitList(value) {
+		for _, name := range splitCommaList(value) {
 			header.Del(name)
 		}
 	}
-	for _, name := range connectionFields {
+	for _, name := range hopByHopHeaders {
 		header.Del(name)
 	}
 }
--- a/chiveentry/full_test.go
+++ b/chiveentry/memory_test.go
@@ -16,13 +16,13 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Guards against a node killed by the kernel because it accepts bodies it has no memory for.
-func TestNodeWithoutMemoryRefusesBeforeItReadsTheBody(t *testing.T) {
-	var full atomic.Bool
+// Guards against the kernel killing a node that reads request bodies it has no memory for.
+func TestRefusesRequestsWhenOutOfMemory(t *testing.T) {
+	var memoryFull atomic.Bool
 	forwarder := &fakeForwarder{}
 	address := chivestand.FreeAddress()
 	e := chiveentry.New(chiveentry.Options{
-		Address: address, Network: chivewire.TCP{}, Dialect: plainDialect{}, Forwarder: forwarder, Full: full.Load, Scope: tally.NoopScope,
+		Address: address, Network: chivewire.TCP{}, Dialect: testDialect{}, Forwarder: forwarder, Full: memoryFull.Load, Scope: tally.NoopScope,
 		Logger: slog.New(slog.DiscardHandler),
 	})
 	e.SetTable(testTable(t))
@@ -30,26 +30,26 @@
 		t.Fatal(err)
 	}
 	defer func() {
-		ended, cancel := context.WithCancel(context.Background())
+		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		e.Stop(ended)
+		e.Stop(ctx)
 	}()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	from := bufio.NewReader(conn)
-	full.Store(true)
-	response, err := ask(t, conn, from, "/x")
+	reader := bufio.NewReader(conn)
+	memoryFull.Store(true)
+	response, err := sendGet(t, conn, reader, "/x")
 	if err != nil {
 		t.Fatal(err)
 	}
 	response.Body.Close()
 	if response.StatusCode != http.StatusServiceUnavailable || response.Header.Get("Retry-After") == "" {
-		t.Errorf("answered %s with Retry-After %q, expected 503 with a time to come back", response.Status, response.Header.Get("Retry-After"))
+		t.Errorf("got %s with Retry-After %q, want 503 with a Retry-After", response.Status, response.Header.Get("Retry-After"))
 	}
-	if len(forwarder.seen) != 0 {
-		t.Errorf("%d requests were passed on", len(forwarder.seen))
+	if len(forwarder.requests) != 0 {
+		t.Errorf("%d requests were forwarded", len(forwarder.requests))
 	}
 }
--- a/chiveentry/stop_test.go
+++ b/chiveentry/stop_test.go
@@ -23,10 +23,10 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// plainDialect is a callers' dialect with one header field.
-type plainDialect struct{}
+// testDialect is a minimal caller dialect.
+type testDialect struct{}
 
-func (plainDialect) Read(header http.Header) (chiverequest.Asked, error) {
+func (testDialect) Read(header http.Header) (chiverequest.Asked, error) {
 	if header.Get("Bad") != "" {
 		return chiverequest.Asked{}, errors.New("header Bad: not a number")
 	}
@@ -37,19 +37,19 @@
 	return chiverequest.Asked{ID: header.Get("Id"), Key: header.Get("Key"), Wait: wait}, nil
 }
 
-func (plainDialect) Strip(header http.Header)           { header.Del("Key") }
-func (plainDialect) Mark(header http.Header, id string) { header.Set("Id", id) }
+func (testDialect) Strip(header http.Header)           { header.Del("Key") }
+func (testDialect) Mark(header http.Header, id string) { header.Set("Id", id) }
 
-// fakeForwarder answers as a test tells it and keeps what it was asked.
+// fakeForwarder records the requests it gets and responds with 200, or as run does if that is set.
 type fakeForwarder struct {
-	mu   sync.Mutex
-	run  func(ctx context.Context, request *chiverequest.Request, sink chiveforward.Sink) chiveforward.Result
-	seen []*chiverequest.Request
+	mu       sync.Mutex
+	run      func(ctx context.Context, request *chiverequest.Request, sink chiveforward.Sink) chiveforward.Result
+	requests []*chiverequest.Request
 }
 
 func (f *fakeForwarder) Run(ctx context.Context, request *chiverequest.Request, sink chiveforward.Sink) chiveforward.Result {
 	f.mu.Lock()
-	f.seen = append(f.seen, request)
+	f.requests = append(f.requests, request)
 	f.mu.Unlock()
 	if f.run != nil {
 		return f.run(ctx, request, sink)
@@ -86,7 +86,7 @@
 	t.Helper()
 	address := chivestand.FreeAddress()
 	e := chiveentry.New(chiveentry.Options{
-		Address: address, Network: network, Dialect: plainDialect{}, Forwarder: forwarder, Scope: tally.NoopScope,
+		Address: address, Network: network, Dialect: testDialect{}, Forwarder: forwarder, Scope: tally.NoopScope,
 		Logger: slog.New(slog.DiscardHandler),
 	})
 	e.SetTable(testTable(t))
@@ -94,24 +94,24 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		ended, cancel := context.WithCancel(context.Background())
+		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		e.Stop(ended)
+		e.Stop(ctx)
 	})
 	return e, address
 }
 
-func ask(t *testing.T, conn net.Conn, from *bufio.Reader, path string) (*http.Response, error) {
+func sendGet(t *testing.T, conn net.Conn, reader *bufio.Reader, path string) (*http.Response, error) {
 	t.Helper()
 	if _, err := io.WriteString(conn, "GET "+path+" HTTP/1.1\r\nHost: a.example\r\nId: 1\r\n\r\n"); err != nil {
 		return nil, err
 	}
 	conn.SetReadDeadline(time.Now().Add(2 * time.Second))
-	return http.ReadResponse(from, nil)
+	return http.ReadResponse(reader, nil)
 }
 
-// keepBusy holds a long request in flight, so that a stop has to wait, until release is closed.
-func keepBusy(t *testing.T, forwarder *fakeForwarder, address string) (conn net.Conn, release chan struct{}) {
+// startLongRequest keeps a request in flight, so that Stop has to wait, until release is closed.
+func startLongRequest(t *testing.T, forwarder *fakeForwarder, address string) (conn net.Conn, release chan struct{}) {
 	t.Helper()
 	release = make(chan struct{})
 	running := make(chan struct{})
@@ -132,7 +132,8 @@
 	return conn, release
 }
 
-// Guards against a stream cut at the end of the grace period because it began on a connection that was idle at the signal.
+// Guards against a stream that is aborted at the end of the grace period because it started on a connection that was
+// idle when the shutdown began.
 func TestStopClosesIdleConnections(t *testing.T) {
 	forwarder := &fakeForwarder{}
 	e, address := startEntry(t, forwarder)
@@ -141,34 +142,34 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	from := bufio.NewReader(conn)
-	if response, err := ask(t, conn, from, "/one"); err != nil || response.StatusCode != http.StatusOK {
-		t.Fatalf("before the stop: %v, %v", response, err)
+	reader := bufio.NewReader(conn)
+	if response, err := sendGet(t, conn, reader, "/one"); err != nil || response.StatusCode != http.StatusOK {
+		t.Fatalf("request before the stop: %v, %v", response, err)
 	}
-	other, release := keepBusy(t, forwarder, address)
+	longConn, release := startLongRequest(t, forwarder, address)
 	stopped := make(chan error, 1)
 	go func() { stopped <- e.Stop(context.Background()) }()
 	time.Sleep(100 * time.Millisecond)
-	if response, err := ask(t, conn, from, "/late"); err == nil {
-		t.Errorf("the idle connection took a request during the stop: %v", response.Status)
+	if response, err := sendGet(t, conn, reader, "/late"); err == nil {
+		t.Errorf("the idle connection accepted a request during the stop: %v", response.Status)
 	}
-	other.SetReadDeadline(time.Now().Add(2 * time.Second))
+	longConn.SetReadDeadline(time.Now().Add(2 * time.Second))
 	close(release)
-	response, err := http.ReadResponse(bufio.NewReader(other), nil)
+	response, err := http.ReadResponse(bufio.NewReader(longConn), nil)
 	if err != nil || !response.Close {
-		t.Errorf("the request in flight: %v, %v; want an answer that closes its connection", response, err)
+		t.Errorf("response to the request in flight: %v, %v; want one that closes its connection", response, err)
 	}
 	if err := <-stopped; err != nil {
 		t.Errorf("stop: %v", err)
 	}
 }
 
-// slowNetwork hands out connections that keep what they have read to themselves for a while, as a process does that the
-// system leaves without processor time.
+// slowNetwork returns connections whose Read blocks after it has read a "/slow" request, until resume is closed, as in
+// a process that gets no CPU time.
 type slowNetwork struct {
 	chivewire.TCP
-	reading chan struct{}
-	goOn    chan struct{}
+	requestRead chan struct{}
+	resume      chan struct{}
 }
 
 func (n *slowNetwork) Listen(address string) (net.Listener, error) {
@@ -194,63 +195,64 @@
 func (c *slowConn) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
 	if strings.Contains(string(data[:n]), "/slow") {
-		close(c.network.reading)
-		<-c.network.goOn
+		close(c.network.requestRead)
+		<-c.network.resume
 	}
 	return n, err
 }
 
-// Guards against closing a connection as idle while its next request is being read.
-func TestStopDoesNotCutARequestThatIsBeingRead(t *testing.T) {
+// Guards against closing a connection as idle while its next request is being read: the request would be forwarded and
+// its caller would get no response.
+func TestStopDoesNotCloseConnectionDuringRequestRead(t *testing.T) {
 	forwarder := &fakeForwarder{}
-	network := &slowNetwork{reading: make(chan struct{}), goOn: make(chan struct{})}
+	network := &slowNetwork{requestRead: make(chan struct{}), resume: make(chan struct{})}
 	e, address := startEntryOn(t, network, forwarder)
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	from := bufio.NewReader(conn)
-	if _, err := ask(t, conn, from, "/one"); err != nil {
+	reader := bufio.NewReader(conn)
+	if _, err := sendGet(t, conn, reader, "/one"); err != nil {
 		t.Fatal(err)
 	}
-	_, release := keepBusy(t, forwarder, address)
+	_, release := startLongRequest(t, forwarder, address)
 	answered := make(chan error, 1)
 	go func() {
-		response, err := ask(t, conn, from, "/slow")
+		response, err := sendGet(t, conn, reader, "/slow")
 		if err == nil {
 			response.Body.Close()
 		}
 		answered <- err
 	}()
-	<-network.reading
+	<-network.requestRead
 	stopped := make(chan error, 1)
 	go func() { stopped <- e.Stop(context.Background()) }()
 	time.Sleep(50 * time.Millisecond)
-	close(network.goOn)
+	close(network.resume)
 	err = <-answered
-	// The caller sees the closing before the server has gone on with what it read.
+	// The caller may see the connection close before the server has processed what it read.
 	time.Sleep(100 * time.Millisecond)
 	close(release)
 	<-stopped
 	forwarder.mu.Lock()
 	defer forwarder.mu.Unlock()
-	if err != nil && len(forwarder.seen) > 2 {
-		t.Errorf("the request was passed on, and its caller got no answer: %v", err)
+	if err != nil && len(forwarder.requests) > 2 {
+		t.Errorf("the request was forwarded, but its caller got no response: %v", err)
 	}
 }
 
-// Guards against a new request on a connection whose answer ended after the listener was closed.
-func TestStopClosesAConnectionAsItsAnswerEnds(t *testing.T) {
+// Guards against a connection that accepts another request after a response which ended during the shutdown.
+func TestStopClosesConnectionWhenResponseEnds(t *testing.T) {
 	forwarder := &fakeForwarder{}
 	e, address := startEntry(t, forwarder)
-	begun, goOn := make(chan struct{}), make(chan struct{})
+	responseStarted, resume := make(chan struct{}), make(chan struct{})
 	forwarder.run = func(_ context.Context, request *chiverequest.Request, sink chiveforward.Sink) chiveforward.Result {
 		sink.Start(http.StatusOK, http.Header{})
 		if request.Target == "/long" {
 			_ = sink.Write([]byte("first"), true)
-			close(begun)
-			<-goOn
+			close(responseStarted)
+			<-resume
 		}
 		return chiveforward.Result{Outcome: chiveforward.Completed, Started: true, Status: http.StatusOK}
 	}
@@ -259,30 +261,30 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	from := bufio.NewReader(conn)
+	reader := bufio.NewReader(conn)
 	io.WriteString(conn, "GET /long HTTP/1.1\r\nHost: a.example\r\nId: 2\r\n\r\n")
-	<-begun
-	response, err := http.ReadResponse(from, nil)
+	<-responseStarted
+	response, err := http.ReadResponse(reader, nil)
 	if err != nil || response.Close {
-		t.Fatalf("the answer that begins before the stop: %v, %v", response, err)
+		t.Fatalf("response that started before the stop: %v, %v", response, err)
 	}
-	_, release := keepBusyBeside(t, e, address)
+	_, release := startIncompleteRequest(t, e, address)
 	stopped := make(chan error, 1)
 	go func() { stopped <- e.Stop(context.Background()) }()
 	time.Sleep(100 * time.Millisecond)
-	close(goOn)
+	close(resume)
 	if _, err := io.ReadAll(response.Body); err != nil {
-		t.Errorf("the rest of the answer: %v", err)
+		t.Errorf("reading the rest of the response: %v", err)
 	}
-	if response, err := ask(t, conn, from, "/late"); err == nil {
-		t.Errorf("the connection took another request during the stop: %v", response.Status)
+	if response, err := sendGet(t, conn, reader, "/late"); err == nil {
+		t.Errorf("the connection accepted another request during the stop: %v", response.Status)
 	}
 	release()
 	<-stopped
 }
 
-// keepBusyBeside keeps a stop waiting with a request whose body is not there yet, until release is called.
-func keepBusyBeside(t *testing.T, e *chiveentry.Entry, address string) (conn net.Conn, release func()) {
+// startIncompleteRequest sends a request without its body, so that Stop has to wait until release is called.
+func startIncompleteRequest(t *testing.T, e *chiveentry.Entry, address string) (conn net.Conn, release func()) {
 	t.Helper()
 	before := e.InFlight()
 	conn, err := net.Dial("tcp", address)
