--- a/chivegate/explain.go
+++ b/chivegate/explain.go
@@ -7,7 +7,7 @@
 	"chivedrift/chivedispatch"
 )
 
-// Explanation tells why one request ran where and when it did.
+// Explanation describes how a request was handled: its settings, times, attempts and outcome.
 type Explanation struct {
 	Request       string                  `json:"request"`
 	Pool          string                  `json:"pool"`
@@ -29,9 +29,9 @@
 	Message       string                  `json:"message,omitempty"`
 }
 
-const explained = 4096
+const maxExplanations = 4096
 
-// explanations keeps the latest explanations, the oldest falling out.
+// explanations holds the latest maxExplanations explanations.
 type explanations struct {
 	mu   sync.Mutex
 	byID map[string]*Explanation
@@ -40,21 +40,21 @@
 }
 
 func newExplanations() *explanations {
-	return &explanations{byID: make(map[string]*Explanation, explained), ids: make([]string, explained)}
+	return &explanations{byID: make(map[string]*Explanation, maxExplanations), ids: make([]string, maxExplanations)}
 }
 
-func (e *explanations) put(x *Explanation) {
+func (e *explanations) put(explanation *Explanation) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(e.byID, e.ids[e.next])
-	e.ids[e.next] = x.Request
-	e.next = (e.next + 1) % explained
-	e.byID[x.Request] = x
+	e.ids[e.next] = explanation.Request
+	e.next = (e.next + 1) % maxExplanations
+	e.byID[explanation.Request] = explanation
 }
 
 func (e *explanations) get(id string) (*Explanation, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	x, ok := e.byID[id]
-	return x, ok
+	explanation, ok := e.byID[id]
+	return explanation, ok
 }
--- a/chivegate/failure.go
+++ b/chivegate/failure.go
@@ -10,7 +10,7 @@
 	"chivedrift/chivedispatch"
 )
 
-// Header names of the callers' contract.
+// Names of the headers of the API.
 const (
 	HeaderClass      = "Chivedrift-Class"
 	HeaderTimeout    = "Chivedrift-Timeout-Ms"
@@ -20,36 +20,36 @@
 	HeaderRetryAfter = "Retry-After"
 )
 
-// failure is an answer that is not the endpoint's.
+// failure is an error response of the router itself, as opposed to one from an endpoint.
 type failure struct {
-	status  int
-	kind    string
-	code    string
-	message string
-	outcome chivedispatch.Outcome
-	after   time.Duration
+	status     int
+	errorType  string
+	code       string
+	message    string
+	outcome    chivedispatch.Outcome
+	retryAfter time.Duration
 }
 
-// Error returns the message, so that a failure can travel as an error.
+// Error returns the message.
 func (f *failure) Error() string { return f.message }
 
 const (
-	kindInvalid  = "invalid_request_error"
-	kindAuth     = "authentication_error"
-	kindCapacity = "capacity_error"
-	kindEndpoint = "endpoint_error"
+	errorTypeInvalid        = "invalid_request_error"
+	errorTypeAuthentication = "authentication_error"
+	errorTypeCapacity       = "capacity_error"
+	errorTypeEndpoint       = "endpoint_error"
 )
 
-func invalid(code, message string) *failure {
-	return &failure{status: http.StatusBadRequest, kind: kindInvalid, code: code, message: message, outcome: chivedispatch.NotRun}
+func newInvalidRequest(code, message string) *failure {
+	return &failure{status: http.StatusBadRequest, errorType: errorTypeInvalid, code: code, message: message, outcome: chivedispatch.NotRun}
 }
 
-func fromResult(r chivedispatch.Result) *failure {
-	kind := kindEndpoint
+func failureFromResult(r chivedispatch.Result) *failure {
+	errorType := errorTypeEndpoint
 	if r.Outcome == chivedispatch.NotRun {
-		kind = kindCapacity
+		errorType = errorTypeCapacity
 	}
-	return &failure{status: r.Status, kind: kind, code: r.Code, message: r.Message, outcome: r.Outcome, after: r.RetryAfter}
+	return &failure{status: r.Status, errorType: errorType, code: r.Code, message: r.Message, outcome: r.Outcome, retryAfter: r.RetryAfter}
 }
 
 type errorBody struct {
@@ -65,23 +65,23 @@
 }
 
 func (f *failure) encode(id string) []byte {
-	data, err := json.Marshal(errorBody{errorFields{f.kind, f.code, f.message, f.outcome, id}})
+	data, err := json.Marshal(errorBody{errorFields{f.errorType, f.code, f.message, f.outcome, id}})
 	if err != nil {
 		return []byte(`{"error":{}}`)
 	}
 	return data
 }
 
-// write answers with the failure; Retry-After is in whole seconds, rounded up so that nobody comes too early.
+// write writes the error response. Retry-After is in whole seconds, rounded up so that no caller retries too early.
 func (f *failure) write(w http.ResponseWriter, id string) {
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
 	header.Set(HeaderRequestID, id)
 	header.Set(HeaderOutcome, string(f.outcome))
-	if f.after > 0 {
-		header.Set(HeaderRetryAfter, strconv.Itoa(int(math.Ceil(f.after.Seconds()))))
+	if f.retryAfter > 0 {
+		header.Set(HeaderRetryAfter, strconv.Itoa(int(math.Ceil(f.retryAfter.Seconds()))))
 	}
 	w.WriteHeader(f.status)
-	// When this fails the caller is gone, and nobody is left to tell.
+	// An error means that the caller has disconnected.
 	_, _ = w.Write(append(f.encode(id), '\n'))
 }
--- a/chivegate/gate_test.go
+++ b/chivegate/gateway_test.go
@@ -26,7 +26,7 @@
 
 const key = "a-team's-key"
 
-// fakeModels counts what gets past the gate.
+// fakeModels counts the model requests that the gateway runs.
 type fakeModels struct{ runs int }
 
 func (f *fakeModels) Run(context.Context, *chivedispatch.Work, chivedispatch.Sink) (chivedispatch.Result, *chivedispatch.Answer) {
@@ -48,12 +48,14 @@
 func (fakeClaims) Finish(*chiveclaim.Claim, chiveclaim.Outcome) {}
 func (fakeClaims) Free(*chiveclaim.Claim)                       {}
 
-type freeQuota struct{}
+type unlimitedQuota struct{}
 
-func (freeQuota) Take(context.Context, string, int64, int64) (bool, time.Duration) { return true, 0 }
-func (freeQuota) Return(string, int64)                                             {}
+func (unlimitedQuota) Take(context.Context, string, int64, int64) (bool, time.Duration) {
+	return true, 0
+}
+func (unlimitedQuota) Return(string, int64) {}
 
-func newGate(tb testing.TB) (*chivegate.Gate, *fakeModels, *strings.Builder) {
+func newGateway(tb testing.TB) (*chivegate.Gate, *fakeModels, *strings.Builder) {
 	tb.Helper()
 	digest := sha256.Sum256([]byte(key))
 	base := fmt.Sprintf(`tiers: [{name: urgent}]
@@ -68,18 +70,18 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	inForce := chivefollow.NewInForce(1, "hash", config)
+	activeConfig := chivefollow.NewInForce(1, "hash", config)
 	models, logs := &fakeModels{}, &strings.Builder{}
-	gate := chivegate.New(chivegate.Options{
-		Node: "n", Models: models, Services: fakeServices{}, Claims: fakeClaims{}, Quota: freeQuota{},
-		InForce: func() *chivefollow.InForce { return inForce }, Scope: tally.NoopScope, Logger: slog.New(slog.NewTextHandler(logs, nil)),
+	gateway := chivegate.New(chivegate.Options{
+		Node: "n", Models: models, Services: fakeServices{}, Claims: fakeClaims{}, Quota: unlimitedQuota{},
+		InForce: func() *chivefollow.InForce { return activeConfig }, Scope: tally.NoopScope, Logger: slog.New(slog.NewTextHandler(logs, nil)),
 	})
-	gate.SetConfig(config)
-	return gate, models, logs
+	gateway.SetConfig(config)
+	return gateway, models, logs
 }
 
-// errorAnswer is what every refusal must carry.
-type errorAnswer struct {
+// errorResponse is the body of a refusal.
+type errorResponse struct {
 	Error struct {
 		Code      string `json:"code"`
 		Message   string `json:"message"`
@@ -88,27 +90,28 @@
 	} `json:"error"`
 }
 
-func send(gate *chivegate.Gate, path, body string, header map[string]string) *httptest.ResponseRecorder {
-	return sendFrom(gate, path, strings.NewReader(body), header)
+func send(gateway *chivegate.Gate, path, body string, header map[string]string) *httptest.ResponseRecorder {
+	return sendReader(gateway, path, strings.NewReader(body), header)
 }
 
-func sendFrom(gate *chivegate.Gate, path string, body io.Reader, header map[string]string) *httptest.ResponseRecorder {
+func sendReader(gateway *chivegate.Gate, path string, body io.Reader, header map[string]string) *httptest.ResponseRecorder {
 	request := httptest.NewRequest(http.MethodPost, "http://node"+path, body)
 	request.Header.Set("Authorization", "Bearer "+key)
 	for name, value := range header {
 		request.Header.Set(name, value)
 	}
 	recorder := httptest.NewRecorder()
-	gate.Handler().ServeHTTP(recorder, request)
+	gateway.Handler().ServeHTTP(recorder, request)
 	return recorder
 }
 
-// brokenBody ends before the caller has sent what it promised.
-type brokenBody struct{}
+// failingBody fails before the body is complete.
+type failingBody struct{}
 
-func (brokenBody) Read([]byte) (int, error) { return 0, errors.New("connection reset") }
+func (failingBody) Read([]byte) (int, error) { return 0, errors.New("connection reset") }
 
-func TestBadInputIsRefusedAsNotRunAndTheNodeGoesOn(t *testing.T) {
+// Invalid requests are refused as not-run, their key is not logged, and the next valid request is served.
+func TestRefusesInvalidRequests(t *testing.T) {
 	const chat = "/v1/chat/completions"
 	const good = `{"model":"m","messages":[{"role":"user","content":"x"}]}`
 	cases := []struct {
@@ -116,26 +119,26 @@
 		header           map[string]string
 		status           int
 		code             string
-		says             string
+		message          string
 	}{
 		{"malformed JSON", chat, "{\n\"model\": }", nil, 400, "invalid_json", "line 2"},
 		{"not an object", chat, `[1]`, nil, 400, "invalid_json", "JSON object"},
 		{"null", chat, `null`, nil, 400, "invalid_json", "JSON object"},
-		{"half a request", chat, `{"model":"m","messages":[{"ro`, nil, 400, "invalid_json", "not valid JSON"},
-		{"broken UTF-8", chat, "{\"model\":\"\xff\"}", nil, 400, "invalid_utf8", "UTF-8"},
+		{"truncated JSON", chat, `{"model":"m","messages":[{"ro`, nil, 400, "invalid_json", "not valid JSON"},
+		{"invalid UTF-8", chat, "{\"model\":\"\xff\"}", nil, 400, "invalid_utf8", "UTF-8"},
 		{"no model", chat, `{"messages":[]}`, nil, 400, "missing_field", `"model"`},
 		{"no messages", chat, `{"model":"m"}`, nil, 400, "missing_field", `"messages"`},
 		{"no prompt", "/v1/completions", `{"model":"m"}`, nil, 400, "missing_field", `"prompt"`},
 		{"wrong type", chat, `{"model":"m","messages":[1],"stream":"yes"}`, nil, 400, "invalid_field", "true or false"},
-		{"absurd length", chat, `{"model":"m","messages":[1],"max_tokens":99999999}`, nil, 400, "invalid_field", "max_tokens"},
-		{"router's own field", chat, `{"model":"m","messages":[1],"priority":0}`, nil, 400, "invalid_field", "set by the router"},
+		{"max_tokens too large", chat, `{"model":"m","messages":[1],"max_tokens":99999999}`, nil, 400, "invalid_field", "max_tokens"},
+		{"field reserved for the router", chat, `{"model":"m","messages":[1],"priority":0}`, nil, 400, "invalid_field", "set by the router"},
 		{"unknown model", chat, `{"model":"x","messages":[1]}`, nil, 404, "model_not_found", `"x"`},
-		{"a service as model", chat, `{"model":"s","messages":[1]}`, nil, 404, "model_not_found", `"s"`},
+		{"service as model", chat, `{"model":"s","messages":[1]}`, nil, 404, "model_not_found", `"s"`},
 		{"unknown service", "/services/none/x", "", nil, 404, "service_not_found", `"none"`},
 		{"unknown path", "/v2/chat", good, nil, 404, "unknown_path", "/v2/chat"},
 		{"unknown class", chat, good, map[string]string{"Chivedrift-Class": "vip"}, 400, "unknown_class", "chat"},
-		{"absurd timeout", chat, good, map[string]string{"Chivedrift-Timeout-Ms": "-5"}, 400, "invalid_timeout", "-5"},
-		{"long key", chat, good, map[string]string{"Idempotency-Key": strings.Repeat("k", 300)}, 400, "invalid_key", "300"},
+		{"negative timeout", chat, good, map[string]string{"Chivedrift-Timeout-Ms": "-5"}, 400, "invalid_timeout", "-5"},
+		{"idempotency key too long", chat, good, map[string]string{"Idempotency-Key": strings.Repeat("k", 300)}, 400, "invalid_key", "300"},
 		{"oversized header", chat, good, map[string]string{"X-Long": strings.Repeat("h", 1200)}, 431, "header_too_large", "1000"},
 		{"oversized body", chat, strings.Repeat("x", 3000), nil, 413, "body_too_large", "2000"},
 		{"wrong bearer key", chat, good, map[string]string{"Authorization": "Bearer no"}, 401, "invalid_api_key", "no team"},
@@ -143,57 +146,57 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			gate, models, logs := newGate(t)
-			check(t, send(gate, c.path, c.body, c.header), c.status, c.code, c.says)
+			gateway, models, logs := newGateway(t)
+			checkRefusal(t, send(gateway, c.path, c.body, c.header), c.status, c.code, c.message)
 			if models.runs != 0 {
-				t.Error("it was run all the same")
+				t.Error("the invalid request was run")
 			}
 			if strings.Contains(logs.String(), key) {
-				t.Error("the key stands in the log")
+				t.Error("the key was logged")
 			}
-			if after := send(gate, chat, good, nil); after.Code != http.StatusOK || models.runs != 1 {
-				t.Errorf("the next good request got %d", after.Code)
+			if next := send(gateway, chat, good, nil); next.Code != http.StatusOK || models.runs != 1 {
+				t.Errorf("the next valid request got status %d", next.Code)
 			}
 		})
 	}
-	gate, _, _ := newGate(t)
-	check(t, sendFrom(gate, chat, brokenBody{}, nil), 400, "incomplete_body", "ended early")
+	gateway, _, _ := newGateway(t)
+	checkRefusal(t, sendReader(gateway, chat, failingBody{}, nil), 400, "incomplete_body", "ended early")
 }
 
-func check(t *testing.T, r *httptest.ResponseRecorder, status int, code, says string) {
+func checkRefusal(t *testing.T, r *httptest.ResponseRecorder, status int, code, message string) {
 	t.Helper()
-	var answer errorAnswer
-	if err := json.Unmarshal(r.Body.Bytes(), &answer); err != nil {
-		t.Fatalf("answer %q: %v", r.Body, err)
+	var response errorResponse
+	if err := json.Unmarshal(r.Body.Bytes(), &response); err != nil {
+		t.Fatalf("response %q: %v", r.Body, err)
 	}
-	e := answer.Error
-	if r.Code != status || e.Code != code || !strings.Contains(e.Message, says) {
-		t.Errorf("got %d %s %q, expected %d %s with %q", r.Code, e.Code, e.Message, status, code, says)
+	e := response.Error
+	if r.Code != status || e.Code != code || !strings.Contains(e.Message, message) {
+		t.Errorf("got %d %s %q, want %d %s with %q", r.Code, e.Code, e.Message, status, code, message)
 	}
 	if e.Outcome != "not-run" || r.Header().Get("Chivedrift-Outcome") != "not-run" || e.RequestID == "" || e.RequestID != r.Header().Get("Chivedrift-Request-Id") {
-		t.Errorf("outcome %q, header %v", e.Outcome, r.Header())
+		t.Errorf("got outcome %q and header %v, want not-run and a request ID in both", e.Outcome, r.Header())
 	}
 }
 
-// FuzzModelRequest sends arbitrary bodies: each is run or refused as not-run with a JSON error, never both or neither.
+// FuzzModelRequest checks that any body is either run or refused as not-run with a JSON error.
 func FuzzModelRequest(f *testing.F) {
 	f.Add([]byte(`{"model":"m","messages":[{"role":"user","content":"x"}],"stream":true,"n":2}`))
 	f.Add([]byte(`{"model":"m","messages":null}`))
 	f.Add([]byte(`{"model":"m","model":1,"messages":{},"max_tokens":1e3}`))
 	f.Add([]byte("\x00\xff"))
-	gate, models, _ := newGate(f)
+	gateway, models, _ := newGateway(f)
 	f.Fuzz(func(t *testing.T, body []byte) {
 		before := models.runs
-		r := send(gate, "/v1/chat/completions", string(body), nil)
+		r := send(gateway, "/v1/chat/completions", string(body), nil)
 		if r.Code == http.StatusOK {
 			if models.runs != before+1 {
-				t.Error("answered 200 without a run")
+				t.Error("status 200, but the request was not run")
 			}
 			return
 		}
-		var answer errorAnswer
-		if err := json.Unmarshal(r.Body.Bytes(), &answer); err != nil || answer.Error.Outcome != "not-run" || models.runs != before {
-			t.Errorf("%d %s after %d runs", r.Code, r.Body, models.runs-before)
+		var response errorResponse
+		if err := json.Unmarshal(r.Body.Bytes(), &response); err != nil || response.Error.Outcome != "not-run" || models.runs != before {
+			t.Errorf("got %d %s after %d runs, want not-run without a run", r.Code, r.Body, models.runs-before)
 		}
 	})
 }
--- a/chivegate/metrics.go
+++ b/chivegate/metrics.go
@@ -10,45 +10,46 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// gateMetrics counts requests by class and outcome; scopes are made once a class, since making one costs more than counting.
-type gateMetrics struct {
+// requestMetrics holds the metrics of each class. They are created once per class, since creating a scope costs more
+// than counting.
+type requestMetrics struct {
 	scope   tally.Scope
 	mu      sync.Mutex
 	classes map[string]*classMetrics
 }
 
 type classMetrics struct {
-	outcomes map[chivedispatch.Outcome]tally.Counter
-	first    tally.Histogram
-	between  tally.Histogram
-	queued   tally.Histogram
-	tokens   tally.Counter
-	met      tally.Counter
+	outcomes      map[chivedispatch.Outcome]tally.Counter
+	firstToken    tally.Histogram
+	betweenTokens tally.Histogram
+	queued        tally.Histogram
+	tokens        tally.Counter
+	targetMet     tally.Counter
 }
 
 const (
-	bucketFirst  = time.Millisecond
-	bucketFactor = 2
-	bucketCount  = 18
-	noClass      = "none"
+	minLatencyBucket    = time.Millisecond
+	latencyBucketFactor = 2
+	latencyBucketCount  = 18
+	noClass             = "none"
 )
 
-func newGateMetrics(scope tally.Scope) *gateMetrics {
-	return &gateMetrics{scope: scope, classes: make(map[string]*classMetrics)}
+func newRequestMetrics(scope tally.Scope) *requestMetrics {
+	return &requestMetrics{scope: scope, classes: make(map[string]*classMetrics)}
 }
 
-func (m *gateMetrics) class(name string) *classMetrics {
+func (m *requestMetrics) forClass(name string) *classMetrics {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if c, ok := m.classes[name]; ok {
 		return c
 	}
 	scope := m.scope.Tagged(map[string]string{"class": name})
-	buckets := tally.MustMakeExponentialDurationBuckets(bucketFirst, bucketFactor, bucketCount)
+	buckets := tally.MustMakeExponentialDurationBuckets(minLatencyBucket, latencyBucketFactor, latencyBucketCount)
 	c := &classMetrics{
-		outcomes: make(map[chivedispatch.Outcome]tally.Counter), first: scope.Histogram("first_token", buckets),
-		between: scope.Histogram("between_tokens", buckets),
-		queued:  scope.Histogram("queued", buckets), tokens: scope.Counter("tokens"), met: scope.Counter("target_met"),
+		outcomes: make(map[chivedispatch.Outcome]tally.Counter), firstToken: scope.Histogram("first_token", buckets),
+		betweenTokens: scope.Histogram("between_tokens", buckets),
+		queued:        scope.Histogram("queued", buckets), tokens: scope.Counter("tokens"), targetMet: scope.Counter("target_met"),
 	}
 	for _, o := range []chivedispatch.Outcome{chivedispatch.Completed, chivedispatch.NotRun, chivedispatch.Failed, chivedispatch.Unknown} {
 		c.outcomes[o] = scope.Tagged(map[string]string{"outcome": string(o)}).Counter("requests")
@@ -57,27 +58,27 @@
 	return c
 }
 
-func (m *gateMetrics) outcome(class string, outcome chivedispatch.Outcome) {
+func (m *requestMetrics) countOutcome(class string, outcome chivedispatch.Outcome) {
 	if class == "" {
 		class = noClass
 	}
-	m.class(class).outcomes[outcome].Inc(1)
+	m.forClass(class).outcomes[outcome].Inc(1)
 }
 
-// finished counts a request that was admitted.
-func (m *gateMetrics) finished(x *Explanation, class *chiveconfig.Class) {
-	c := m.class(x.Class)
-	c.outcomes[x.Outcome].Inc(1)
-	c.queued.RecordDuration(time.Duration(x.QueuedMs) * time.Millisecond)
-	c.tokens.Inc(x.Tokens)
-	if x.Outcome != chivedispatch.Completed {
+// recordExplanation records the outcome, times and tokens of a request that was admitted.
+func (m *requestMetrics) recordExplanation(explanation *Explanation, class *chiveconfig.Class) {
+	c := m.forClass(explanation.Class)
+	c.outcomes[explanation.Outcome].Inc(1)
+	c.queued.RecordDuration(time.Duration(explanation.QueuedMs) * time.Millisecond)
+	c.tokens.Inc(explanation.Tokens)
+	if explanation.Outcome != chivedispatch.Completed {
 		return
 	}
-	first := time.Duration(x.FirstTokenMs) * time.Millisecond
-	c.first.RecordDuration(first)
-	c.between.RecordDuration(time.Duration(x.BetweenMs * float64(time.Millisecond)))
-	steady := class.BetweenTokensMs == 0 || x.BetweenMs <= float64(class.BetweenTokensMs)
-	if first <= class.FirstToken() && steady {
-		c.met.Inc(1)
+	first := time.Duration(explanation.FirstTokenMs) * time.Millisecond
+	c.firstToken.RecordDuration(first)
+	c.betweenTokens.RecordDuration(time.Duration(explanation.BetweenMs * float64(time.Millisecond)))
+	withinPace := class.BetweenTokensMs == 0 || explanation.BetweenMs <= float64(class.BetweenTokensMs)
+	if first <= class.FirstToken() && withinPace {
+		c.targetMet.Inc(1)
 	}
 }
--- a/chivegate/model.go
+++ b/chivegate/model.go
@@ -12,7 +12,7 @@
 	"chivedrift/chivedispatch"
 )
 
-// modelList is the answer to GET /v1/models.
+// modelList is the response to GET /v1/models.
 type modelList struct {
 	Object string      `json:"object"`
 	Data   []modelItem `json:"data"`
@@ -25,11 +25,11 @@
 }
 
 func (g *Gate) serveModels(w http.ResponseWriter, r *http.Request) {
-	a, leave, ok := g.enter(w, r)
+	a, done, ok := g.begin(w, r)
 	if !ok {
 		return
 	}
-	defer leave()
+	defer done()
 	list := modelList{Object: "list", Data: []modelItem{}}
 	for i := range a.config.Pools {
 		if pool := &a.config.Pools[i]; pool.Kind == chiveconfig.KindModel {
@@ -38,109 +38,109 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set(HeaderRequestID, a.id)
-	// When this fails the caller is gone, and nobody is left to tell.
-	_ = json.NewEncoder(w).Encode(list) //nolint:errchkjson // made of strings
+	// An error means that the caller has disconnected.
+	_ = json.NewEncoder(w).Encode(list) //nolint:errchkjson // strings always encode
 }
 
-// serveModel takes a model request from its checks to its outcome.
+// serveModel handles a chat or text completion request.
 func (g *Gate) serveModel(w http.ResponseWriter, r *http.Request) {
-	a, leave, ok := g.enter(w, r)
+	a, done, ok := g.begin(w, r)
 	if !ok {
 		return
 	}
-	defer leave()
-	m, work, err := g.modelWork(a, r)
+	defer done()
+	parsed, request, err := g.newModelRequest(a, r)
 	if err != nil {
 		g.refuse(w, r, a, err)
 		return
 	}
-	estimate := work.PromptTokens + min(work.Class.ExpectedTokens, orMost(work.MaxTokens))
+	estimate := request.PromptTokens + min(request.Class.ExpectedTokens, outputLimit(request.MaxTokens))
 	if err := g.takeQuota(r.Context(), a, estimate); err != nil {
 		g.refuse(w, r, a, err)
 		return
 	}
-	claim, settled := g.claim(w, r, a, work.Pool, work.Class)
-	if settled {
+	claim, answered := g.claim(w, r, a, request.Pool, request.Class)
+	if answered {
 		return
 	}
-	sink := newModelSink(w, a.id, r.URL.Path, m.stream)
-	result, answer := g.o.Models.Run(r.Context(), work, sink)
-	g.o.Quota.Return(a.team, estimate-work.PromptTokens-answer.Tokens())
-	x := g.explanation(a, work.Pool, work.Class, result)
-	x.Tokens = answer.Tokens()
-	x.BetweenMs = float64(answer.Pace().Microseconds()) / 1000
-	x.FirstTokenMs = x.TookMs
-	if !answer.First().IsZero() {
-		x.FirstTokenMs = answer.First().Sub(a.arrival).Milliseconds()
+	sink := newModelSink(w, a.id, r.URL.Path, parsed.stream)
+	result, response := g.options.Models.Run(r.Context(), request, sink)
+	g.options.Quota.Return(a.team, estimate-request.PromptTokens-response.Tokens())
+	explanation := g.newExplanation(a, request.Pool, request.Class, result)
+	explanation.Tokens = response.Tokens()
+	explanation.BetweenMs = float64(response.Pace().Microseconds()) / 1000
+	explanation.FirstTokenMs = explanation.TookMs
+	if !response.First().IsZero() {
+		explanation.FirstTokenMs = response.First().Sub(a.arrival).Milliseconds()
 	}
 	contentType := ""
-	if result.Outcome == chivedispatch.Completed && !m.stream {
+	if result.Outcome == chivedispatch.Completed && !parsed.stream {
 		contentType = "application/json"
 		if result.Body == nil {
-			result.Body = assemble(a.id, r.URL.Path, m.model, answer)
+			result.Body = encodeCompletion(a.id, r.URL.Path, parsed.model, response)
 		}
 	}
-	g.close(x, work.Class, claim, result, contentType)
+	g.recordEnd(explanation, request.Class, claim, result, contentType)
 	sink.finish(result)
 }
 
-func orMost(limit int64) int64 {
-	if limit == 0 {
-		return maxOutputLimit
+func outputLimit(maxTokens int64) int64 {
+	if maxTokens == 0 {
+		return maxOutputTokens
 	}
-	return limit
+	return maxTokens
 }
 
-func (g *Gate) modelWork(a *admission, r *http.Request) (*modelRequest, *chivedispatch.Work, error) {
-	m, err := parseModelRequest(r.URL.Path, a.body)
+func (g *Gate) newModelRequest(a *admittedRequest, r *http.Request) (*modelBody, *chivedispatch.Work, error) {
+	parsed, err := parseModelBody(r.URL.Path, a.body)
 	if err != nil {
 		return nil, nil, err
 	}
-	pool, err := a.pool(m.model, chiveconfig.KindModel, "model_not_found")
+	pool, err := a.findPool(parsed.model, chiveconfig.KindModel, "model_not_found")
 	if err != nil {
 		return nil, nil, err
 	}
-	class, err := classOf(a.config, pool, r.Header)
+	class, err := requestClass(a.config, pool, r.Header)
 	if err != nil {
 		return nil, nil, err
 	}
-	a.bound(class)
-	return m, &chivedispatch.Work{
-		ID: a.id, Pool: pool.Name, Path: r.URL.Path, Class: class, Team: a.team, Content: a.content, Fields: m.fields, Arrival: a.arrival, Deadline: a.deadline,
-		Prefix: m.prefix, PromptTokens: m.prompt, MaxTokens: m.maxTokens, Repeatable: class.Repeatable, Whole: m.whole,
+	a.setDeadline(class)
+	return parsed, &chivedispatch.Work{
+		ID: a.id, Pool: pool.Name, Path: r.URL.Path, Class: class, Team: a.team, Content: a.fingerprint, Fields: parsed.fields, Arrival: a.arrival, Deadline: a.deadline,
+		Prefix: parsed.prefixHash, PromptTokens: parsed.promptTokens, MaxTokens: parsed.maxTokens, Repeatable: class.Repeatable, Whole: parsed.disableStreaming,
 	}, nil
 }
 
-func (g *Gate) takeQuota(ctx context.Context, a *admission, tokens int64) error {
+func (g *Gate) takeQuota(ctx context.Context, a *admittedRequest, tokens int64) error {
 	team, ok := a.config.Team(a.team)
 	if !ok || team.TokensPerSecond == 0 {
 		return nil
 	}
-	allowed, after := g.o.Quota.Take(ctx, team.Name, team.TokensPerSecond, tokens)
+	allowed, retryAfter := g.options.Quota.Take(ctx, team.Name, team.TokensPerSecond, tokens)
 	if allowed {
 		return nil
 	}
 	return &failure{
-		status: http.StatusTooManyRequests, kind: kindCapacity, code: "team_limit",
+		status: http.StatusTooManyRequests, errorType: errorTypeCapacity, code: "team_limit",
 		message: fmt.Sprintf("team %s is over its limit of %d tokens a second", team.Name, team.TokensPerSecond),
-		outcome: chivedispatch.NotRun, after: after,
+		outcome: chivedispatch.NotRun, retryAfter: retryAfter,
 	}
 }
 
-func (g *Gate) explanation(a *admission, pool string, class *chiveconfig.Class, result chivedispatch.Result) *Explanation {
+func (g *Gate) newExplanation(a *admittedRequest, pool string, class *chiveconfig.Class, result chivedispatch.Result) *Explanation {
 	return &Explanation{
-		Request: a.id, Pool: pool, Class: class.Name, Tier: class.Tier, Team: a.team, ConfigVersion: a.inForce.Version(),
+		Request: a.id, Pool: pool, Class: class.Name, Tier: class.Tier, Team: a.team, ConfigVersion: a.activeConfig.Version(),
 		Arrived: a.arrival, Deadline: a.deadline, QueuedMs: result.Queued.Milliseconds(), TookMs: time.Since(a.arrival).Milliseconds(),
 		Attempts: result.Attempts, Outcome: result.Outcome, Code: result.Code, Message: result.Message,
 	}
 }
 
-// close records a request's end: for explain, for the metrics, and for its key.
-func (g *Gate) close(x *Explanation, class *chiveconfig.Class, claim *chiveclaim.Claim, result chivedispatch.Result, contentType string) {
+// recordEnd records the end of a request: its explanation, its metrics and, if it holds a claim, its outcome.
+func (g *Gate) recordEnd(explanation *Explanation, class *chiveconfig.Class, claim *chiveclaim.Claim, result chivedispatch.Result, contentType string) {
 	if claim != nil {
-		x.Claim = "held"
-		g.settle(claim, result, contentType)
+		explanation.Claim = "held"
+		g.recordOutcome(claim, result, contentType)
 	}
-	g.explain.put(x)
-	g.metrics.finished(x, class)
+	g.explanations.put(explanation)
+	g.metrics.recordExplanation(explanation, class)
 }
--- a/chivegate/service.go
+++ b/chivegate/service.go
@@ -9,95 +9,97 @@
 	"chivedrift/chiveentry"
 )
 
-// ownHeaders end at the router: the caller's key and the router's own fields, and the length, which net/http sets anew.
-var ownHeaders = []string{"Authorization", HeaderClass, HeaderTimeout, "Content-Length"}
+// routerHeaders are not forwarded: the caller's key, the router's own headers, and the length, which net/http sets
+// anew.
+var routerHeaders = []string{"Authorization", HeaderClass, HeaderTimeout, "Content-Length"}
 
-// dropHeaders removes what is not passed on.
-func dropHeaders(header http.Header) {
+// removeRouterHeaders removes the headers that are not forwarded.
+func removeRouterHeaders(header http.Header) {
 	chiveentry.DropConnectionFields(header)
-	for _, name := range ownHeaders {
+	for _, name := range routerHeaders {
 		header.Del(name)
 	}
 }
 
-// serveService takes a request to a plain service from its checks to its outcome.
+// serveService handles a request to a plain service.
 func (g *Gate) serveService(w http.ResponseWriter, r *http.Request) {
-	a, leave, ok := g.enter(w, r)
+	a, done, ok := g.begin(w, r)
 	if !ok {
 		return
 	}
-	defer leave()
-	work, err := g.serviceWork(a, r)
+	defer done()
+	request, err := g.newServiceRequest(a, r)
 	if err != nil {
 		g.refuse(w, r, a, err)
 		return
 	}
-	claimClass := *work.Class
-	claimClass.Repeatable = work.Repeatable
-	claim, settled := g.claim(w, r, a, work.Pool, &claimClass)
-	if settled {
+	claimClass := *request.Class
+	claimClass.Repeatable = request.Repeatable
+	claim, answered := g.claim(w, r, a, request.Pool, &claimClass)
+	if answered {
 		return
 	}
-	result, answer := g.o.Services.Run(r.Context(), work)
-	x := g.explanation(a, work.Pool, work.Class, result)
-	x.FirstTokenMs = x.TookMs
+	result, response := g.options.Services.Run(r.Context(), request)
+	explanation := g.newExplanation(a, request.Pool, request.Class, result)
+	explanation.FirstTokenMs = explanation.TookMs
 	contentType := ""
-	if answer != nil {
-		contentType = answer.Header.Get("Content-Type")
-		if answer.Rest == nil {
-			result.Body = answer.Body
+	if response != nil {
+		contentType = response.Header.Get("Content-Type")
+		if response.Rest == nil {
+			result.Body = response.Body
 		} else {
 			contentType = ""
 		}
 	}
-	g.close(x, work.Class, claim, result, contentType)
-	g.respond(w, a, result, answer)
+	g.recordEnd(explanation, request.Class, claim, result, contentType)
+	g.writeResponse(w, a, result, response)
 }
 
-func (g *Gate) serviceWork(a *admission, r *http.Request) (*chivedispatch.ServiceWork, error) {
+func (g *Gate) newServiceRequest(a *admittedRequest, r *http.Request) (*chivedispatch.ServiceWork, error) {
 	name, path := servicePath(r.URL.EscapedPath())
-	pool, err := a.pool(name, chiveconfig.KindService, "service_not_found")
+	pool, err := a.findPool(name, chiveconfig.KindService, "service_not_found")
 	if err != nil {
 		return nil, err
 	}
-	class, err := classOf(a.config, pool, r.Header)
+	class, err := requestClass(a.config, pool, r.Header)
 	if err != nil {
 		return nil, err
 	}
-	a.bound(class)
+	a.setDeadline(class)
 	if r.URL.RawQuery != "" {
 		path += "?" + r.URL.RawQuery
 	}
 	header := r.Header.Clone()
-	dropHeaders(header)
-	reading := r.Method == http.MethodGet || r.Method == http.MethodHead || r.Method == http.MethodOptions
+	removeRouterHeaders(header)
+	safeMethod := r.Method == http.MethodGet || r.Method == http.MethodHead || r.Method == http.MethodOptions
 	return &chivedispatch.ServiceWork{
-		ID: a.id, Pool: pool.Name, Class: class, Team: a.team, Method: r.Method, Path: path, Header: header, Body: a.body, Content: a.content,
-		Arrival: a.arrival, Deadline: a.deadline, Repeatable: reading || class.Repeatable,
+		ID: a.id, Pool: pool.Name, Class: class, Team: a.team, Method: r.Method, Path: path, Header: header, Body: a.body, Content: a.fingerprint,
+		Arrival: a.arrival, Deadline: a.deadline, Repeatable: safeMethod || class.Repeatable,
 	}, nil
 }
 
-func (g *Gate) respond(w http.ResponseWriter, a *admission, result chivedispatch.Result, answer *chivedispatch.ServiceAnswer) {
-	if answer == nil {
-		fromResult(result).write(w, a.id)
+func (g *Gate) writeResponse(w http.ResponseWriter, a *admittedRequest, result chivedispatch.Result, response *chivedispatch.ServiceAnswer) {
+	if response == nil {
+		failureFromResult(result).write(w, a.id)
 		return
 	}
 	header := w.Header()
-	for name, values := range answer.Header {
+	for name, values := range response.Header {
 		header[name] = values
 	}
-	dropHeaders(header)
+	removeRouterHeaders(header)
 	header.Set(HeaderRequestID, a.id)
 	header.Set(HeaderOutcome, string(result.Outcome))
-	w.WriteHeader(answer.Status)
-	// When writing fails the caller is gone, and nobody is left to tell.
-	_, _ = w.Write(answer.Body)
-	if answer.Rest == nil {
+	w.WriteHeader(response.Status)
+	// An error means that the caller has disconnected.
+	_, _ = w.Write(response.Body)
+	if response.Rest == nil {
 		return
 	}
-	defer answer.Rest.Close()
-	if _, err := io.Copy(w, answer.Rest); err != nil {
-		// The headers have said "completed", and a caller that got a short body must not believe them: the connection is broken off.
+	defer response.Rest.Close()
+	if _, err := io.Copy(w, response.Rest); err != nil {
+		// The outcome "completed" has been sent in the header, but the body is truncated: the connection is aborted so
+		// that the caller does not take the response for complete.
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/chivegate/sink.go
+++ b/chivegate/sink.go
@@ -9,44 +9,44 @@
 	"chivedrift/chivedispatch"
 )
 
-// modelSink writes an answer to the caller: event by event for a stream, at the end for a whole answer.
+// modelSink writes the response to a model request: event by event if it is streamed, else at the end.
 type modelSink struct {
-	w       http.ResponseWriter
-	out     *http.ResponseController
-	id      string
-	path    string
-	stream  bool
-	started bool
-	frame   []byte
+	w           http.ResponseWriter
+	controller  *http.ResponseController
+	id          string
+	path        string
+	stream      bool
+	started     bool
+	eventBuffer []byte
 }
 
 const (
-	eventOpening = "data: "
-	eventClosing = "\n\n"
-	eventDone    = "data: [DONE]\n\n"
-	outcomeEvent = "event: chivedrift.outcome\n"
+	eventPrefix      = "data: "
+	eventSuffix      = "\n\n"
+	doneEvent        = "data: [DONE]\n\n"
+	outcomeEventName = "event: chivedrift.outcome\n"
 )
 
 func newModelSink(w http.ResponseWriter, id, path string, stream bool) *modelSink {
-	return &modelSink{w: w, out: http.NewResponseController(w), id: id, path: path, stream: stream}
+	return &modelSink{w: w, controller: http.NewResponseController(w), id: id, path: path, stream: stream}
 }
 
-// Event passes on one event of a stream; events that came together are flushed together.
+// Event writes one event of a stream; events that were received together are flushed together.
 func (s *modelSink) Event(data []byte, more bool) error {
 	if !s.stream {
 		return nil
 	}
 	s.start()
-	s.frame = append(s.frame[:0], eventOpening...)
-	s.frame = append(s.frame, data...)
-	s.frame = append(s.frame, eventClosing...)
-	if _, err := s.w.Write(s.frame); err != nil {
-		return err //nolint:wrapcheck // says that the caller is gone
+	s.eventBuffer = append(s.eventBuffer[:0], eventPrefix...)
+	s.eventBuffer = append(s.eventBuffer, data...)
+	s.eventBuffer = append(s.eventBuffer, eventSuffix...)
+	if _, err := s.w.Write(s.eventBuffer); err != nil {
+		return err //nolint:wrapcheck // only means that the caller has disconnected
 	}
 	if more {
 		return nil
 	}
-	return s.out.Flush() //nolint:wrapcheck // says that the caller is gone
+	return s.controller.Flush() //nolint:wrapcheck // only means that the caller has disconnected
 }
 
 func (s *modelSink) start() {
@@ -62,35 +62,36 @@
 	s.w.WriteHeader(http.StatusOK)
 }
 
-// finish ends the answer: with the end mark, or with the error as a final event when a stream had begun.
+// finish ends the response. A stream ends with the end marker, or with the error if it had started, and an outcome
+// event.
 func (s *modelSink) finish(result chivedispatch.Result) {
 	if !s.stream || (!s.started && result.Outcome != chivedispatch.Completed) {
-		s.finishWhole(result)
+		s.finishNotStreamed(result)
 		return
 	}
 	s.start()
-	closing := []byte(eventDone)
+	final := []byte(doneEvent)
 	if result.Outcome != chivedispatch.Completed {
-		closing = append([]byte(eventOpening), fromResult(result).encode(s.id)...)
-		closing = append(closing, eventClosing...)
+		final = append([]byte(eventPrefix), failureFromResult(result).encode(s.id)...)
+		final = append(final, eventSuffix...)
 	}
-	closing = append(closing, outcomeEvent...)
-	closing = append(closing, eventOpening...)
-	closing = append(closing, `{"outcome":`+strconv.Quote(string(result.Outcome))+`,"request_id":`+strconv.Quote(s.id)+`}`...)
-	closing = append(closing, eventClosing...)
-	// When this fails the caller is gone, and nobody is left to tell.
-	_, _ = s.w.Write(closing)
+	final = append(final, outcomeEventName...)
+	final = append(final, eventPrefix...)
+	final = append(final, `{"outcome":`+strconv.Quote(string(result.Outcome))+`,"request_id":`+strconv.Quote(s.id)+`}`...)
+	final = append(final, eventSuffix...)
+	// An error means that the caller has disconnected.
+	_, _ = s.w.Write(final)
 	s.w.Header().Set(HeaderOutcome, string(result.Outcome))
 }
 
-func (s *modelSink) finishWhole(result chivedispatch.Result) {
+func (s *modelSink) finishNotStreamed(result chivedispatch.Result) {
 	header := s.w.Header()
 	switch {
 	case result.Outcome == chivedispatch.Completed:
 	case result.Outcome == chivedispatch.Failed && json.Valid(result.Body):
-		// The endpoint's own error goes to the caller as it is, beside the outcome in the header.
+		// The endpoint's own error body is passed to the caller unchanged, with the outcome in the header.
 	case result.Outcome != chivedispatch.Completed:
-		fromResult(result).write(s.w, s.id)
+		failureFromResult(result).write(s.w, s.id)
 		return
 	}
 	header.Set("Content-Type", "application/json")
@@ -100,8 +101,8 @@
 	_, _ = s.w.Write(result.Body)
 }
 
-// wholeAnswer is an answer that is not streamed, put together from the streamed tokens.
-type wholeAnswer struct {
+// completion is a response that is not streamed to the caller, assembled from the engine's stream.
+type completion struct {
 	ID      string          `json:"id"`
 	Object  string          `json:"object"`
 	Created int64           `json:"created"`
@@ -122,28 +123,28 @@
 	Content json.RawMessage `json:"content"`
 }
 
-func assemble(id, path, model string, answer *chivedispatch.Answer) []byte {
-	text := quoted(answer.Text())
-	whole := wholeAnswer{ID: id, Object: "chat.completion", Created: time.Now().Unix(), Model: model, Usage: answer.Usage()}
-	only := choice{Finish: quoted(answer.Finish())}
+func encodeCompletion(id, path, model string, delivered *chivedispatch.Answer) []byte {
+	content := quote(delivered.Text())
+	response := completion{ID: id, Object: "chat.completion", Created: time.Now().Unix(), Model: model, Usage: delivered.Usage()}
+	single := choice{Finish: quote(delivered.Finish())}
 	if path == pathChat {
-		only.Message = &message{Role: "assistant", Content: text}
+		single.Message = &message{Role: "assistant", Content: content}
 	} else {
-		whole.Object = "text_completion"
-		only.Text = text
+		response.Object = "text_completion"
+		single.Text = content
 	}
-	whole.Choices = []choice{only}
-	data, err := json.Marshal(whole)
+	response.Choices = []choice{single}
+	data, err := json.Marshal(response)
 	if err != nil {
 		return nil
 	}
 	return data
 }
 
-// quoted puts the inside of a JSON string, as an engine sent it, back into quotes.
-func quoted(inside []byte) json.RawMessage {
-	text := make([]byte, 0, len(inside)+2)
+// quote returns a JSON string with the given contents, which are already escaped.
+func quote(contents []byte) json.RawMessage {
+	text := make([]byte, 0, len(contents)+2)
 	text = append(text, '"')
-	text = append(text, inside...)
+	text = append(text, contents...)
 	return append(text, '"')
 }
--- a/chivegate/team.go
+++ b/chivegate/team.go
@@ -11,17 +11,17 @@
 	"chivedrift/chivedispatch"
 )
 
-// keyring holds the digests of all teams' keys.
-type keyring struct {
+// teamKeys holds the digests of the teams' keys: digests[i] belongs to teams[i].
+type teamKeys struct {
 	digests [][sha256.Size]byte
 	teams   []string
 }
 
-func newKeyring(config *chiveconfig.Config) *keyring {
-	k := &keyring{}
+func newTeamKeys(config *chiveconfig.Config) *teamKeys {
+	k := &teamKeys{}
 	for i := range config.Teams {
-		for _, text := range config.Teams[i].KeySHA256 {
-			raw, err := hex.DecodeString(text)
+		for _, encoded := range config.Teams[i].KeySHA256 {
+			raw, err := hex.DecodeString(encoded)
 			if err != nil || len(raw) != sha256.Size {
 				continue
 			}
@@ -32,14 +32,14 @@
 	return k
 }
 
-// team returns the team whose key a request carries.
+// authenticate returns the name of the team whose key a request carries.
 //
-// Every digest is compared in full and in constant time: a comparison that stops at the first difference would tell
-// a stranger by its duration how much of a key was right.
-func (k *keyring) team(r *http.Request) (string, error) {
+// It compares every digest in constant time: the duration of a comparison that stops at the first difference would
+// reveal how much of a guessed key is correct.
+func (k *teamKeys) authenticate(r *http.Request) (string, error) {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || key == "" {
-		return "", unauthorised("header Authorization: expected a Bearer key")
+		return "", newAuthenticationError("header Authorization: expected a Bearer key")
 	}
 	digest := sha256.Sum256([]byte(key))
 	found := -1
@@ -48,11 +48,11 @@
 		found = subtle.ConstantTimeSelect(match, i, found)
 	}
 	if found < 0 {
-		return "", unauthorised("header Authorization: this key belongs to no team")
+		return "", newAuthenticationError("header Authorization: this key belongs to no team")
 	}
 	return k.teams[found], nil
 }
 
-func unauthorised(message string) *failure {
-	return &failure{status: http.StatusUnauthorized, kind: kindAuth, code: "invalid_api_key", message: message, outcome: chivedispatch.NotRun}
+func newAuthenticationError(message string) *failure {
+	return &failure{status: http.StatusUnauthorized, errorType: errorTypeAuthentication, code: "invalid_api_key", message: message, outcome: chivedispatch.NotRun}
 }
