--- a/chiverequest/caller.go
+++ b/chiverequest/caller.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// Asked is what a caller says of its request beside method, path and body.
+// Asked holds what a caller states about its request in the header.
 type Asked struct {
-	// ID is the identity of this try of the request.
+	// ID identifies this attempt of the caller; a retry has another ID.
 	ID string
-	// Wait is how long the caller waits; zero when it does not say.
+	// Wait is the caller's timeout; zero if it states none.
 	Wait time.Duration
-	// Key identifies the team.
+	// Key is the API key of the team.
 	Key string
-	// Prompt is nil for requests without one.
+	// Prompt describes the prompt of a model request; nil if there is none.
 	Prompt *Prompt
-	// LastEvent is the last event that the caller has of a stream that it wants to go on with.
+	// LastEvent is the ID of the last event that the caller received of a stream that it wants to resume.
 	LastEvent string
 }
 
-// CallerDialect is how a kind of callers speaks.
+// CallerDialect implements the header conventions of a kind of callers.
 type CallerDialect interface {
-	// Read takes a request's header apart; the error tells the caller which field is wrong.
+	// Read parses the header of a request; the error, which is sent to the caller, names the invalid field.
 	Read(header http.Header) (Asked, error)
-	// Strip removes what callers must not set themselves and what ends at the router, such as the key.
+	// Strip removes the fields that callers must not set and those meant for the router only, such as the key.
 	Strip(header http.Header)
-	// Mark puts a request's identity on an answer of the router's own.
+	// Mark sets the request ID in the header of a response that the router itself generates.
 	Mark(header http.Header, id string)
 }
--- a/chiverequest/doc.go
+++ b/chiverequest/doc.go
@@ -1,3 +1,4 @@
-// Package chiverequest holds the types that a request travels in between the dialects at its two ends: what a caller asked,
-// the accepted request, one attempt of it, and how callers and endpoints are spoken to.
+// Package chiverequest defines the representation of a request that is independent of the protocols of callers and
+// endpoints: what a caller states in its header, the accepted request and its prompt, and one attempt of it on an
+// endpoint. It also defines the interfaces to the implementations of those protocols, which are called dialects.
 package chiverequest
--- a/chiverequest/fingerprint.go
+++ b/chiverequest/fingerprint.go
@@ -6,17 +6,19 @@
 	"encoding/hex"
 )
 
-// fingerprintBytes is long enough that nobody makes a request that is taken for another caller's.
+// fingerprintBytes is long enough that no caller can construct a request with the fingerprint of another one.
 const fingerprintBytes = 16
 
-// Fingerprint names what a request asks, so that its next try is known for the same at any node: every try has an identity of its own.
+// Fingerprint is a hash of a request's content. It lets every node recognize a caller's retry as the same request,
+// although each retry has its own ID.
 type Fingerprint string
 
-// NewFingerprint returns the fingerprint of a team's request; what differs between tries, such as the deadline or the last event, is no part of it.
+// NewFingerprint returns the fingerprint of a team's request. What may differ between retries, such as the deadline or
+// the last event, is left out.
 func NewFingerprint(team, method, host, target string, body []byte) Fingerprint {
 	hash := sha256.New()
 	for _, field := range [][]byte{[]byte(team), []byte(method), []byte(host), []byte(target), body} {
-		// The length goes first, so that no field can be taken for the end of another one. A hash takes every write.
+		// The length prefix keeps the boundaries between fields unambiguous. Writing to a hash never fails.
 		_, _ = hash.Write(binary.BigEndian.AppendUint64(nil, uint64(len(field))))
 		_, _ = hash.Write(field)
 	}
--- a/chiverequest/health.go
+++ b/chiverequest/health.go
@@ -2,27 +2,28 @@
 
 import "net/http"
 
-// Health is what the answer to a health check says.
+// Health is the result of a health check, as far as the response shows it.
 type Health uint8
 
 const (
-	// HealthAlive is an answer of the process that was meant.
+	// HealthAlive is a response from the process that was to be checked.
 	HealthAlive Health = iota
-	// HealthOther is an answer of another process at the address.
+	// HealthOther is a response from another process at the same address.
 	HealthOther
-	// HealthGateway is a proxy's answer that it does not reach the process.
+	// HealthGateway is a response from a proxy that cannot reach the process.
 	HealthGateway
 )
 
-// HealthDialect is how a kind of endpoints is asked whether a process is alive.
+// HealthDialect implements the health checks of a kind of endpoints.
 type HealthDialect interface {
-	// HealthCheck adds what a health check of an endpoint, by its id, needs to the header, and returns its method and target.
+	// HealthCheck sets the header of a health check of the endpoint with an ID, and returns the method and target of
+	// the HTTP request.
 	HealthCheck(header http.Header, id string) (method, target string)
-	// JudgeHealth returns what the answer to a health check means for an incarnation of an endpoint.
+	// JudgeHealth classifies the response to a health check of one incarnation of an endpoint.
 	JudgeHealth(id, incarnation string, response *http.Response) Health
 }
 
-// IsGateway reports whether a status is one by which a proxy says that it does not reach the process behind it.
+// IsGateway reports whether a status is one that a proxy returns if it cannot reach the process behind it.
 func IsGateway(status int) bool {
 	return status == http.StatusBadGateway || status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 }
--- a/chiverequest/prompt.go
+++ b/chiverequest/prompt.go
@@ -8,31 +8,33 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Part is one piece of a prompt that other requests may share.
+// Part is a section of a prompt that other requests may share, so that an engine may have it cached.
 type Part struct {
-	// ID names the part's text together with all that comes before it.
+	// ID identifies the part's text together with all text before it.
 	ID     uint64
 	Tokens int64
 }
 
-// PartID shortens a part's name to the number that caches are kept by.
+// PartID returns the ID of a part: a hash of its name.
 func PartID(name string) uint64 { return xxhash.Sum64String(name) }
 
-// Prompt is what is known of a model request before it runs; the zero value is a request without a prompt.
+// Prompt describes a model request before it runs; the zero value describes a request without a prompt.
 type Prompt struct {
 	Model string
-	// Parts are the pieces in order; an engine can only reuse a part if it holds all before it.
+	// Parts are in the order of the prompt; an engine can reuse a cached part only if it also holds all parts before
+	// it.
 	Parts []Part
-	// Input is the number of tokens in, MostOutput the most that may come out, HintedOutput the caller's own guess.
-	Input        int64
+	// Input is the number of input tokens.
+	Input int64
+	// MostOutput is the maximum number of output tokens, HintedOutput the caller's estimate of their number.
 	MostOutput   int64
 	HintedOutput int64
-	// Pause is the longest pause between events that is still on time; zero where none is promised.
+	// Pause is the longest pause between events that meets the latency target; zero if there is no such target.
 	Pause time.Duration
-	// Target is the time to the first event that is still on time.
+	// Target is the longest time to the first event that meets the latency target.
 	Target time.Duration
-	// Rank is the request's rank among those that go to the same pool; Urgent is the shortest target of the routes there that are as
-	// urgent or more.
+	// Rank is the request's priority rank in its pool. Urgent is the shortest Target of the pool's routes that are at
+	// least as urgent.
 	Rank   chivetable.Rank
 	Urgent time.Duration
 }
--- a/chiverequest/request.go
+++ b/chiverequest/request.go
@@ -8,81 +8,84 @@
 	"chivedrift/chivetable"
 )
 
-// Request is one request as it was accepted, in no caller's dialect.
+// Request is an accepted request, independent of the caller's dialect.
 type Request struct {
-	// ID is the identity that the caller gave this try of its request; the endpoint echoes it.
+	// ID identifies the request and is sent to the endpoint, which may echo it; a retry by the caller has another ID.
 	ID    string
 	Route *chivetable.Route
 	Pool  string
 	Team  string
-	// Rank is the request's rank among those that go to the same pool.
+	// Rank is the request's priority rank in its pool.
 	Rank   chivetable.Rank
 	Method string
-	// Target is the path with its query, byte for byte as the caller sent it.
+	// Target is the path and query, exactly as the caller sent them.
 	Target string
 	Host   string
-	// Header holds what is passed on; the router's own fields were taken out.
+	// Header holds the header fields to forward, without those meant for the router only.
 	Header http.Header
 	Body   []byte
-	// Content is the same for all tries of the same request, at any node.
+	// Content is the same for all retries of a request by the caller, at any node.
 	Content Fingerprint
 	Prompt  *Prompt
-	// LastEvent is the last event of a stream that the caller already has, empty for a stream from its start.
+	// LastEvent is the ID of the last event of a stream that the caller already has; empty to start at the beginning.
 	LastEvent string
 	Arrival   time.Time
 	Deadline  time.Time
-	// TableVersion is the version of the configuration that the route comes from.
+	// TableVersion is the version of the routing table that Route comes from.
 	TableVersion int64
-	// Residency is where the request may be served by the configuration that it was accepted under.
+	// Residency limits the regions that may serve the request, by the configuration under which it was accepted.
 	Residency chiveresidency.Policy
-	// Silence is how long an endpoint may send nothing before another one is tried; zero means that silence is no reason.
+	// Silence is how long an endpoint may send nothing before another one is tried; zero means no limit.
 	Silence time.Duration
-	// Stream takes the events of a streamed answer; nil passes them on by their ids.
+	// Stream handles the events of a streamed response; if nil, they are forwarded to the caller by their IDs.
 	Stream Stream
-	// Source is what the endpoints' dialect keeps of the request for itself.
+	// Source holds data of the request for the dialect of the endpoints.
 	Source any
 }
 
-// Stream takes the events of one streamed answer, over all attempts.
+// Stream handles the events of one streamed response, over all attempts.
 type Stream interface {
-	// Event takes one event, byte for byte; more tells that others are already there. It reports whether the stream is over.
+	// Event handles one event, given exactly as received; more is true if further events have already been received. It
+	// reports whether the stream has ended.
 	Event(data []byte, id string, more bool) (ended bool, err error)
-	// Whole reports whether nothing is missing if the stream ends here without having said so.
+	// Whole reports whether the response is complete if the stream ends now without an end marker.
 	Whole() bool
 }
 
-// Send is one attempt of a request on one endpoint.
+// Send is one attempt to run a request on one endpoint.
 type Send struct {
 	Request *Request
-	// Endpoint is the incarnation that is meant; another one at the same address must not run the request.
+	// Endpoint is the ID of the endpoint that is to run the request; another one at the same address must not run it.
 	Endpoint string
-	// Left is how long the caller still waits.
+	// Left is the time until the request's deadline.
 	Left time.Duration
-	// After is the last event that was delivered, when the stream goes on from there.
+	// After is the ID of the last delivered event, from which the stream is to be resumed; empty to start at the
+	// beginning.
 	After string
-	// FetchFrom is the address of the endpoint from which this one should fetch the parts of the prompt that it lacks; empty for none.
+	// FetchFrom is the address of the endpoint from which this one should fetch the prompt parts that it has not
+	// cached; empty for none.
 	FetchFrom string
 }
 
-// Verdict tells what the head of an answer means.
+// Verdict classifies a response by its status and header.
 type Verdict uint8
 
 const (
-	// VerdictAnswer is the endpoint's answer to the request.
+	// VerdictAnswer is the endpoint's response to the request.
 	VerdictAnswer Verdict = iota
-	// VerdictNotRun is the endpoint's word that it did not run the request and will not.
+	// VerdictNotRun is the endpoint's statement that it has not run the request and will not run it.
 	VerdictNotRun
-	// VerdictElsewhere is the word of another endpoint that has the address now; the request did not run.
+	// VerdictElsewhere is a response from another endpoint that now has the address; the request did not run.
 	VerdictElsewhere
-	// VerdictForeign is an answer that belongs to another request.
+	// VerdictForeign is the response to another request.
 	VerdictForeign
 )
 
-// EndpointDialect is how a kind of endpoints is spoken to.
+// EndpointDialect implements the protocol of a kind of endpoints.
 type EndpointDialect interface {
 	HealthDialect
-	// Prepare adds what the endpoint needs to know to the header of one attempt, and returns the attempt's body.
-	Prepare(header http.Header, send Send) (body []byte, err error)
-	// Judge tells what the head of an answer to a request means.
+	// Prepare sets the header fields that the endpoint needs for an attempt, and returns the attempt's body.
+	Prepare(header http.Header, attempt Send) (body []byte, err error)
+	// Judge classifies the response to a request by its status and header.
 	Judge(request *Request, response *http.Response) Verdict
 }
