--- a/chivenode/chaos_test.go
+++ b/chivenode/chaos_test.go
@@ -14,19 +14,20 @@
 	"chivedrift/chivestand"
 )
 
-var chaosSeeds = flag.Int("chaos-seeds", 12, "how many seeds the mixed-fault test runs")
+var chaosSeeds = flag.Int("chaos-seeds", 12, "number of seeds for the mixed-fault test")
 
-// A chaos run is callers, a schedule of faults drawn from a seed, and a ledger of what every caller was told.
-type chaos struct {
-	c      *cluster
-	random *rand.Rand
-	mu     sync.Mutex
-	told   []told
-	faults int
+// chaosRun runs callers against a cluster under a schedule of faults drawn from a seed, and records every answer that
+// a caller got.
+type chaosRun struct {
+	c       *cluster
+	random  *rand.Rand
+	mu      sync.Mutex
+	answers []answer
+	faults  int
 }
 
-// told is one answer with the identity of its request and the key it was for.
-type told struct {
+// answer is one answer that a caller got, with the ID of its request and the idempotency key of the call.
+type answer struct {
 	id      string
 	key     string
 	outcome string
@@ -36,23 +37,23 @@
 }
 
 const (
-	chaosNodes   = 6
-	chaosCallers = 8
-	chaosTime    = 60 * time.Second
-	chaosTokens  = 30
-	callerWaits  = 12 * time.Second
+	chaosNodes    = 6
+	chaosCallers  = 8
+	chaosDuration = 60 * time.Second
+	chaosTokens   = 30
+	callerTimeout = 12 * time.Second
 )
 
-// Guards against any gap between what is done and what callers are told, under randomly mixed faults.
-func TestNoFalseWordUnderMixedFaults(t *testing.T) {
+// Guards against outcomes reported to callers that differ from what was executed, under randomly mixed faults.
+func TestOutcomesAreTrueUnderMixedFaults(t *testing.T) {
 	sum := make(map[string]int)
 	for seed := range *chaosSeeds {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			inCluster(t, shape{nodes: chaosNodes, engines: 4, sequences: 8}, func(c *cluster) {
-				x := &chaos{c: c, random: rand.New(rand.NewPCG(uint64(seed), 7))}
+			withCluster(t, clusterSpec{nodes: chaosNodes, engines: 4, sequences: 8}, func(c *cluster) {
+				x := &chaosRun{c: c, random: rand.New(rand.NewPCG(uint64(seed), 7))}
 				x.run()
-				for word, n := range x.check(t) {
-					sum[word] += n
+				for outcome, n := range x.check(t) {
+					sum[outcome] += n
 				}
 			})
 		})
@@ -60,8 +61,8 @@
 	t.Logf("over %d seeds: %v", *chaosSeeds, sum)
 }
 
-func (x *chaos) run() {
-	ctx, cancel := context.WithTimeout(context.Background(), chaosTime)
+func (x *chaosRun) run() {
+	ctx, cancel := context.WithTimeout(context.Background(), chaosDuration)
 	defer cancel()
 	var running sync.WaitGroup
 	for caller := range chaosCallers {
@@ -70,13 +71,13 @@
 		go func() {
 			defer running.Done()
 			for number := 0; ctx.Err() == nil; number++ {
-				x.callOnce(random, fmt.Sprintf("%d-%d", caller, number))
+				x.sendWithRetries(random, fmt.Sprintf("%d-%d", caller, number))
 				time.Sleep(time.Duration(random.IntN(400)) * time.Millisecond)
 			}
 		}()
 	}
 	for ctx.Err() == nil {
-		heal := x.fault()
+		heal := x.injectFault()
 		time.Sleep(time.Duration(500+x.random.IntN(4000)) * time.Millisecond)
 		heal()
 		time.Sleep(time.Duration(x.random.IntN(1500)) * time.Millisecond)
@@ -85,55 +86,57 @@
 	time.Sleep(10 * time.Second)
 }
 
-// callOnce sends a keyed request, up to three times and the retries through two nodes at once, or a stream.
-func (x *chaos) callOnce(random *rand.Rand, name string) {
+// sendWithRetries sends either a stream once, or a service request, usually with an idempotency key. A keyed request
+// is sent up to three times until it completes; each time, two more copies are sent through random nodes
+// concurrently.
+func (x *chaosRun) sendWithRetries(random *rand.Rand, name string) {
 	if random.IntN(3) == 0 {
 		prompt := fmt.Sprintf("%s tokens=%d", name, chaosTokens)
-		x.ask(call{node: random.IntN(chaosNodes), path: "/v1/chat/completions", class: "dossier", body: chat(prompt, true)}, prompt)
+		x.send(call{node: random.IntN(chaosNodes), path: "/v1/chat/completions", class: "dossier", body: chat(prompt, true)}, prompt)
 		return
 	}
-	k := call{path: "/services/svc/book", class: "confirm", body: "x"}
+	request := call{path: "/services/svc/book", class: "confirm", body: "x"}
 	if random.IntN(4) > 0 {
-		k.key = "key-" + name
+		request.key = "key-" + name
 	}
-	for try := 0; try < 3 && !x.ask(x.through(k, random), ""); try++ {
-		if k.key == "" {
+	for try := 0; try < 3 && !x.send(x.viaRandomNode(request, random), ""); try++ {
+		if request.key == "" {
 			return
 		}
 		var both sync.WaitGroup
 		for range 2 {
 			both.Add(1)
-			retry := x.through(k, random)
+			retry := x.viaRandomNode(request, random)
 			go func() {
 				defer both.Done()
-				x.ask(retry, "")
+				x.send(retry, "")
 			}()
 		}
 		both.Wait()
 	}
 }
 
-func (x *chaos) through(k call, random *rand.Rand) call {
-	k.node = random.IntN(chaosNodes)
-	return k
+func (x *chaosRun) viaRandomNode(request call, random *rand.Rand) call {
+	request.node = random.IntN(chaosNodes)
+	return request
 }
 
-// ask sends a request, notes what the caller was told and reports whether it is content.
-func (x *chaos) ask(k call, prompt string) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), callerWaits)
+// send sends a request, records the answer and reports whether the request completed.
+func (x *chaosRun) send(request call, prompt string) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 	defer cancel()
-	r := x.c.do(ctx, k)
-	if r.err != nil || r.header == nil {
+	response := x.c.do(ctx, request)
+	if response.err != nil || response.header == nil {
 		return false
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.told = append(x.told, told{id: r.header.Get(chivegate.HeaderRequestID), key: k.key, outcome: r.outcome, prompt: prompt, tokens: chaosTokens, text: r.text})
-	return r.outcome == "completed"
+	x.answers = append(x.answers, answer{id: response.header.Get(chivegate.HeaderRequestID), key: request.key, outcome: response.outcome, prompt: prompt, tokens: chaosTokens, text: response.text})
+	return response.outcome == "completed"
 }
 
-// fault puts one fault into force and returns what lifts it.
-func (x *chaos) fault() (heal func()) {
+// injectFault injects a random fault and returns a function that removes it.
+func (x *chaosRun) injectFault() (heal func()) {
 	x.faults++
 	c := x.c
 	node := x.random.IntN(chaosNodes)
@@ -147,8 +150,8 @@
 	case 2:
 		c.log.SetFaults(chivestand.LogFaults{DelayMs: int64(x.random.IntN(2500))})
 	case 3:
-		c.lose(logAddress)
-		return func() { c.find(logAddress) }
+		c.isolate(logAddress)
+		return func() { c.reconnect(logAddress) }
 	case 4:
 		service.SetFaults(chivestand.ServiceFaults{CrashAfter: true})
 	case 5:
@@ -162,10 +165,10 @@
 	case 9:
 		engine.SetFaults(chivestand.EngineFaults{StallAfterTokens: 1 + x.random.IntN(20)})
 	case 10:
-		c.lose(callersAddress(node))
-		return func() { c.find(callersAddress(node)) }
+		c.isolate(callersAddress(node))
+		return func() { c.reconnect(callersAddress(node)) }
 	case 12:
-		return x.loseDomain(domain(x.random.IntN(3)))
+		return x.isolateDomain(domain(x.random.IntN(3)))
 	case 11:
 		c.network.Silence(func(from, to string) bool {
 			return host(from) == host(callersAddress(node)) || host(to) == host(callersAddress(node))
@@ -178,25 +181,26 @@
 	}
 }
 
-// loseDomain takes a failure domain off the network: its nodes, schedulers and claim writers among them, and its engines.
-func (x *chaos) loseDomain(name string) (heal func()) {
-	var lost []string
+// isolateDomain disconnects a failure domain from the network: its engines and its nodes, which include schedulers
+// and claim writers.
+func (x *chaosRun) isolateDomain(name string) (heal func()) {
+	var addresses []string
 	for i := range chaosNodes {
 		if domain(i) == name {
-			lost = append(lost, peerAddress(i))
+			addresses = append(addresses, peerAddress(i))
 		}
 	}
 	for i := range x.c.engines {
 		if domain(i) == name {
-			lost = append(lost, engineAddress(i))
+			addresses = append(addresses, engineAddress(i))
 		}
 	}
-	x.c.lose(lost...)
-	return func() { x.c.find(lost...) }
+	x.c.isolate(addresses...)
+	return func() { x.c.reconnect(addresses...) }
 }
 
-// check compares every word with what the stand-ins counted.
-func (x *chaos) check(t *testing.T) map[string]int {
+// check compares every answer with the executions that the simulated endpoints counted.
+func (x *chaosRun) check(t *testing.T) map[string]int {
 	t.Helper()
 	byID, byKey := make(map[string]int), make(map[string]int)
 	for _, s := range x.c.services {
@@ -215,44 +219,44 @@
 	}
 	for key, n := range byKey {
 		if n > 1 {
-			t.Errorf("key %s ran %d times", key, n)
+			t.Errorf("key %s was executed %d times", key, n)
 		}
 	}
-	sum := map[string]int{"faults": x.faults, "answers": len(x.told)}
-	for _, a := range x.told {
+	sum := map[string]int{"faults": x.faults, "answers": len(x.answers)}
+	for _, a := range x.answers {
 		sum[a.outcome]++
-		x.checkWord(t, a, byID[a.id], byKey[a.key], sum)
+		x.checkAnswer(t, a, byID[a.id], byKey[a.key], sum)
 	}
 	return sum
 }
 
-func (x *chaos) checkWord(t *testing.T, a told, ran, keyRan int, sum map[string]int) {
+func (x *chaosRun) checkAnswer(t *testing.T, a answer, runs, keyRuns int, sum map[string]int) {
 	t.Helper()
 	switch a.outcome {
 	case "not-run":
-		if ran > 0 {
-			t.Errorf("%s was said not to have run and ran %d times", a.id, ran)
+		if runs > 0 {
+			t.Errorf("%s was reported as not run but was executed %d times", a.id, runs)
 		}
 	case "completed":
-		a.checkCompleted(t, ran+keyRan)
+		a.checkCompleted(t, runs+keyRuns)
 	case "unknown":
-		if a.prompt == "" && ran == 0 && (a.key == "" || keyRan == 0) {
-			sum["unknown that had not run"]++
+		if a.prompt == "" && runs == 0 && (a.key == "" || keyRuns == 0) {
+			sum["unknown, not executed"]++
 		}
 	case "failed":
 	default:
-		if a.prompt == "" || !strings.HasPrefix(expected(a.prompt, a.tokens), a.text) {
-			t.Errorf("%s ended as %q with %q", a.id, a.outcome, a.text)
+		if a.prompt == "" || !strings.HasPrefix(expectedText(a.prompt, a.tokens), a.text) {
+			t.Errorf("%s ended with outcome %q and unexpected text %q", a.id, a.outcome, a.text)
 		}
 	}
 }
 
-func (a told) checkCompleted(t *testing.T, ran int) {
+func (a answer) checkCompleted(t *testing.T, runs int) {
 	t.Helper()
-	if a.prompt != "" && a.text != expected(a.prompt, a.tokens) {
+	if a.prompt != "" && a.text != expectedText(a.prompt, a.tokens) {
 		t.Errorf("%s completed with the wrong text %q", a.id, a.text)
 	}
-	if a.prompt == "" && ran == 0 {
-		t.Errorf("%s was said to be completed and never ran", a.id)
+	if a.prompt == "" && runs == 0 {
+		t.Errorf("%s was reported as completed but was never executed", a.id)
 	}
 }
--- a/chivenode/cluster_test.go
+++ b/chivenode/cluster_test.go
@@ -25,35 +25,35 @@
 )
 
 const (
-	logAddress  = "10.0.0.1:80"
-	testKey     = "key"
-	testDigest  = "2c70e12b7a0646f92279f427c7b38e7334d8e5389cff167a1dc30e73f826b683" // SHA-256 of testKey
-	callerName  = "10.9.9.9:1"
-	engineStep  = 10 * time.Millisecond
-	settledTime = 3 * time.Second
+	logAddress    = "10.0.0.1:80"
+	testKey       = "key"
+	testDigest    = "2c70e12b7a0646f92279f427c7b38e7334d8e5389cff167a1dc30e73f826b683" // SHA-256 of testKey
+	callerAddress = "10.9.9.9:1"
+	engineStep    = 10 * time.Millisecond
+	settleTime    = 3 * time.Second
 )
 
-// cluster is a whole system on an in-memory network and the bubble's clock.
+// cluster is a complete system on an in-memory network and the synthetic clock of a synctest bubble.
 type cluster struct {
-	t        *testing.T
-	shape    shape
-	network  *chivestand.Network
-	log      *chivestand.Log
-	engines  []*chivestand.Engine
-	services []*chivestand.Service
-	nodes    []*chivenode.Node
-	servers  []*http.Server
-	vms      []chivelog.VM
-	caller   *http.Client
-	dial     *http.Transport
-
-	mu   sync.Mutex
-	dead map[string]bool
-	cuts func(from, to string) bool
+	t         *testing.T
+	spec      clusterSpec
+	network   *chivestand.Network
+	log       *chivestand.Log
+	engines   []*chivestand.Engine
+	services  []*chivestand.Service
+	nodes     []*chivenode.Node
+	servers   []*http.Server
+	vms       []chivelog.VM
+	client    *http.Client
+	transport *http.Transport
+
+	mu          sync.Mutex
+	isolated    map[string]bool
+	partitioned func(from, to string) bool
 }
 
-// shape is how large a cluster is.
-type shape struct {
+// clusterSpec describes the size and configuration of a cluster.
+type clusterSpec struct {
 	nodes     int
 	engines   int
 	sequences int
@@ -61,15 +61,15 @@
 	regions   int
 }
 
-// region returns the region of a node or an engine; without a number of regions there is one.
-func (s shape) region(i int) string {
+// region returns the region of a node or an engine. A cluster has a single region unless regions is at least 2.
+func (s clusterSpec) region(i int) string {
 	if s.regions < 2 {
 		return "r"
 	}
 	return fmt.Sprintf("r%d", i%s.regions)
 }
 
-func inCluster(t *testing.T, s shape, test func(c *cluster)) {
+func withCluster(t *testing.T, s clusterSpec, test func(c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, s)
@@ -78,14 +78,14 @@
 	})
 }
 
-func newCluster(t *testing.T, s shape) *cluster {
+func newCluster(t *testing.T, s clusterSpec) *cluster {
 	t.Helper()
-	c := &cluster{t: t, shape: s, network: chivestand.NewNetwork(), log: chivestand.NewLog(), dead: make(map[string]bool)}
-	c.network.Block(c.blocks)
-	c.dial = &http.Transport{DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
-		return c.network.Dial(ctx, callerName, address)
+	c := &cluster{t: t, spec: s, network: chivestand.NewNetwork(), log: chivestand.NewLog(), isolated: make(map[string]bool)}
+	c.network.Block(c.blocked)
+	c.transport = &http.Transport{DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
+		return c.network.Dial(ctx, callerAddress, address)
 	}}
-	c.caller = &http.Client{Transport: c.dial}
+	c.client = &http.Client{Transport: c.transport}
 	c.serve(logAddress, c.log.Handler())
 	for i := range s.engines {
 		engine := chivestand.NewEngine("m", chivestand.EngineSpeed{Step: engineStep, Sequences: s.sequences, PrefixCacheBlocks: 64})
@@ -109,7 +109,7 @@
 		c.nodes = append(c.nodes, nil)
 		c.start(i)
 	}
-	time.Sleep(settledTime)
+	time.Sleep(settleTime)
 	return c
 }
 
@@ -135,7 +135,7 @@
 
 func (c *cluster) settings(i int) chivesettings.Settings {
 	return chivesettings.Settings{
-		Name: nodeName(i), Site: "here", Region: c.shape.region(i), FailureDomain: domain(i),
+		Name: nodeName(i), Site: "here", Region: c.spec.region(i), FailureDomain: domain(i),
 		Listen:   chivesettings.Listen{Callers: callersAddress(i), Admin: adminAddress(i), Peers: peerAddress(i)},
 		Platform: chivesettings.Platform{Log: logAddress, VMList: logAddress, LogRetentionS: 3600},
 	}
@@ -153,11 +153,12 @@
 	c.nodes[i] = node
 }
 
-// blocks reports whether a way carries nothing: an end is dead, or the partition in force lies between.
-func (c *cluster) blocks(from, to string) bool {
+// blocked reports whether traffic between two addresses is dropped, because one end is isolated or a partition
+// separates them.
+func (c *cluster) blocked(from, to string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.dead[host(from)] || c.dead[host(to)] || (c.cuts != nil && c.cuts(from, to))
+	return c.isolated[host(from)] || c.isolated[host(to)] || (c.partitioned != nil && c.partitioned(from, to))
 }
 
 func host(address string) string {
@@ -165,40 +166,41 @@
 	return name
 }
 
-// lose takes VMs off the network for good: what they say is heard by nobody, what is said to them has no answer.
-func (c *cluster) lose(addresses ...string) {
+// isolate disconnects VMs from the network until reconnect is called: their packets are dropped in both directions,
+// and connections are not closed.
+func (c *cluster) isolate(addresses ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, address := range addresses {
-		c.dead[host(address)] = true
+		c.isolated[host(address)] = true
 	}
 }
 
-// find brings VMs back.
-func (c *cluster) find(addresses ...string) {
+// reconnect ends the isolation of VMs.
+func (c *cluster) reconnect(addresses ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, address := range addresses {
-		delete(c.dead, host(address))
+		delete(c.isolated, host(address))
 	}
 }
 
-// partition puts a cut into force; nil heals it.
-func (c *cluster) partition(cuts func(from, to string) bool) {
+// partition drops traffic for which the function returns true; nil ends the partition.
+func (c *cluster) partition(partitioned func(from, to string) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cuts = cuts
+	c.partitioned = partitioned
 }
 
-// crash ends a VM's connections at once, as a killed process does, and loses it.
+// crash closes all connections of a VM at once, as when its process is killed, and isolates it.
 func (c *cluster) crash(address string) {
-	c.lose(address)
+	c.isolate(address)
 	c.network.Cut(func(from, to string) bool { return host(from) == host(address) || host(to) == host(address) })
 }
 
 func (c *cluster) close() {
 	c.network.Block(nil)
-	c.dial.CloseIdleConnections()
+	c.transport.CloseIdleConnections()
 	for _, node := range c.nodes {
 		if node != nil {
 			_ = node.Stop(context.Background())
@@ -225,7 +227,7 @@
 	c.log.Append(chiveconfig.Stream, data)
 }
 
-const testBase = `tiers: [{name: urgent}, {name: committed}, {name: standard}, {name: background}]
+const testBaseConfig = `tiers: [{name: urgent}, {name: committed}, {name: standard}, {name: background}]
 classes:
   - {name: nudge, tier: urgent, first_token_ms: 500, deadline_ms: 5000, stall_ms: 1000, expected_tokens: 20, retry_budget_percent: 50, idempotent: true}
   - {name: dossier, tier: committed, first_token_ms: 5000, deadline_ms: 120000, stall_ms: 1000, expected_tokens: 100, retry_budget_percent: 50, protected: true, idempotent: true}
@@ -248,8 +250,8 @@
     endpoints:
 `
 
-func bundleFor(s shape) chiveconfig.Bundle {
-	base := fmt.Sprintf(testBase, testDigest, s.policy)
+func bundleFor(s clusterSpec) chiveconfig.Bundle {
+	base := fmt.Sprintf(testBaseConfig, testDigest, s.policy)
 	for i := range s.engines {
 		base += fmt.Sprintf("      - {name: e%d, address: %q, region: %s, failure_domain: %s, capacity_tokens: 20000, sequences: %d}\n", i, engineAddress(i), s.region(i), domain(i), s.sequences)
 	}
@@ -258,16 +260,16 @@
 
 // ---------------------------------------------------------------- callers
 
-// reply is what a caller saw.
+// reply is a response as a caller sees it.
 type reply struct {
-	status  int
-	header  http.Header
-	outcome string
-	text    string
-	body    string
-	done    bool
-	err     error
-	first   time.Duration
+	status     int
+	header     http.Header
+	outcome    string
+	text       string
+	body       string
+	done       bool
+	err        error
+	firstToken time.Duration
 }
 
 type call struct {
@@ -283,24 +285,24 @@
 	return fmt.Sprintf(`{"model":"m","stream":%t,"messages":[{"role":"user","content":%q}]}`, stream, prompt)
 }
 
-func (c *cluster) do(ctx context.Context, k call) reply {
-	method := k.method
+func (c *cluster) do(ctx context.Context, spec call) reply {
+	method := spec.method
 	if method == "" {
 		method = http.MethodPost
 	}
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+callersAddress(k.node)+k.path, strings.NewReader(k.body))
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+callersAddress(spec.node)+spec.path, strings.NewReader(spec.body))
 	if err != nil {
 		return reply{err: err}
 	}
 	request.Header.Set("Authorization", "Bearer "+testKey)
-	if k.class != "" {
-		request.Header.Set(chivegate.HeaderClass, k.class)
+	if spec.class != "" {
+		request.Header.Set(chivegate.HeaderClass, spec.class)
 	}
-	if k.key != "" {
-		request.Header.Set(chivegate.HeaderKey, k.key)
+	if spec.key != "" {
+		request.Header.Set(chivegate.HeaderKey, spec.key)
 	}
 	started := time.Now()
-	response, err := c.caller.Do(request)
+	response, err := c.client.Do(request)
 	if err != nil {
 		return reply{err: err}
 	}
@@ -340,7 +342,7 @@
 		}
 		if json.Unmarshal([]byte(data), &chunk) == nil && len(chunk.Choices) == 1 {
 			if r.text == "" {
-				r.first = time.Since(started)
+				r.firstToken = time.Since(started)
 			}
 			r.text += chunk.Choices[0].Delta.Content
 		}
@@ -348,8 +350,8 @@
 	r.err = lines.Err()
 }
 
-// expected returns the text that an undisturbed engine gives for a prompt sent by chat.
-func expected(prompt string, tokens int) string {
+// expectedText returns the text that a simulated engine generates for a prompt sent by chat if nothing fails.
+func expectedText(prompt string, tokens int) string {
 	messages, err := json.Marshal([]struct {
 		Role    string `json:"role"`
 		Content string `json:"content"`
--- a/chivenode/collector.go
+++ b/chivenode/collector.go
@@ -6,44 +6,46 @@
 )
 
 const (
-	// collectAtPercent is by how much of the live heap it grows until the next collection, whose time counts as the node's own processor time.
-	collectAtPercent = 400
-	// collectAtLeast is the same for the largest heaps, so that collections do not follow each other at once.
-	collectAtLeast = 50
-	// garbageMost bounds the growth in bytes. What a node knows grows with the fleet, and garbage in proportion to it would take several times
-	// that memory in each process of a large one.
-	garbageMost = 12 * megabyte
-	// percentStep is the least change of the percentage that is worth the stop of all goroutines that it takes.
-	percentStep = 20
+	// maxGCPercent is used while the live heap is small. Collections count as the node's own CPU time, and a high
+	// percentage makes them rare.
+	maxGCPercent = 400
+	// minGCPercent is the lower bound for large heaps, so that collections do not run back to back.
+	minGCPercent = 50
+	// maxGarbageBytes is the heap growth allowed between collections, unless minGCPercent allows more. A node's state
+	// grows with the fleet; with a fixed percentage, the garbage of each process in a large fleet would take several
+	// times the memory of that state.
+	maxGarbageBytes = 12 * megabyte
+	// minGCPercentChange is the smallest change that is applied, since debug.SetGCPercent stops all goroutines.
+	minGCPercentChange = 20
 )
 
-// CollectPercent returns by how much of the live bytes the heap may grow until the next collection, in percent.
+// CollectPercent returns the garbage collector's GOGC percentage for the given number of live heap bytes.
 func CollectPercent(live uint64) int {
 	if live == 0 {
-		return collectAtPercent
+		return maxGCPercent
 	}
-	return max(collectAtLeast, min(collectAtPercent, int(100*garbageMost/live)))
+	return max(minGCPercent, min(maxGCPercent, int(100*maxGarbageBytes/live)))
 }
 
-// collector sets the garbage collector's percentage by the live heap.
-type collector struct {
+// gcTuner adjusts the garbage collector's GOGC percentage to the size of the live heap.
+type gcTuner struct {
 	percent int
-	sample  []metrics.Sample
+	samples []metrics.Sample
 }
 
-func newCollector() *collector {
-	c := &collector{percent: collectAtPercent, sample: []metrics.Sample{{Name: "/gc/heap/live:bytes"}}}
-	debug.SetGCPercent(c.percent)
-	return c
+func newGCTuner() *gcTuner {
+	t := &gcTuner{percent: maxGCPercent, samples: []metrics.Sample{{Name: "/gc/heap/live:bytes"}}}
+	debug.SetGCPercent(t.percent)
+	return t
 }
 
-// adjust sets the percentage for the heap that was live after the last collection.
-func (c *collector) adjust() {
-	metrics.Read(c.sample)
-	percent := CollectPercent(c.sample[0].Value.Uint64())
-	if max(percent-c.percent, c.percent-percent) < percentStep {
+// adjust sets the percentage for the live heap of the last collection.
+func (t *gcTuner) adjust() {
+	metrics.Read(t.samples)
+	percent := CollectPercent(t.samples[0].Value.Uint64())
+	if max(percent-t.percent, t.percent-percent) < minGCPercentChange {
 		return
 	}
-	c.percent = percent
+	t.percent = percent
 	debug.SetGCPercent(percent)
 }
--- a/chivenode/collector_test.go
+++ b/chivenode/collector_test.go
@@ -6,7 +6,7 @@
 	"chivedrift/chivenode"
 )
 
-// Guards against garbage that grows in proportion to what a node of a large fleet knows.
+// Guards against garbage that grows in proportion to the state of a node, which is large in a large fleet.
 func TestGarbageIsBounded(t *testing.T) {
 	const megabyte, most = 1 << 20, 12
 	for _, live := range []uint64{0, 1, 2, 3, 5, 8, 16, 24} {
--- a/chivenode/fleet_test.go
+++ b/chivenode/fleet_test.go
@@ -17,7 +17,7 @@
 	"chivedrift/chivestand"
 )
 
-func lookup[T any](c *cluster, node int, name string) T {
+func lookupService[T any](c *cluster, node int, name string) T {
 	c.t.Helper()
 	service, err := chivekernel.Lookup[T](c.nodes[node].Kernel(), name)
 	if err != nil {
@@ -27,20 +27,20 @@
 }
 
 func (c *cluster) inForce(node int) *chivefollow.InForce {
-	return lookup[*chivefollow.Follower](c, node, chivefollow.ServiceName).InForce()
+	return lookupService[*chivefollow.Follower](c, node, chivefollow.ServiceName).InForce()
 }
 
-func (c *cluster) members(node int) int {
-	return len(lookup[*chivemember.Service](c, node, chivemember.ServiceName).Members())
+func (c *cluster) memberCount(node int) int {
+	return len(lookupService[*chivemember.Service](c, node, chivemember.ServiceName).Members())
 }
 
-// await waits for a condition on the bubble's clock and returns how long it took.
-func (c *cluster) await(limit time.Duration, what string, holds func() bool) time.Duration {
+// waitFor waits for a condition, on the bubble's clock, and returns how long that took.
+func (c *cluster) waitFor(limit time.Duration, description string, condition func() bool) time.Duration {
 	c.t.Helper()
 	started := time.Now()
-	for !holds() {
+	for !condition() {
 		if time.Since(started) > limit {
-			c.t.Errorf("not after %s: %s", limit, what)
+			c.t.Errorf("condition not met within %s: %s", limit, description)
 			return limit
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -60,9 +60,9 @@
 	return true
 }
 
-// schedulerOf returns the node that schedules the only shard.
-func (c *cluster) schedulerOf() int {
-	members := lookup[*chivemember.Service](c, 0, chivemember.ServiceName).Members()
+// schedulerNode returns the index of the node that schedules the only shard.
+func (c *cluster) schedulerNode() int {
+	members := lookupService[*chivemember.Service](c, 0, chivemember.ServiceName).Members()
 	first := chiveroute.NewPlacement([]chiveroute.Key{chiveroute.NewKey("m/r/0", "r")}, members).Owners("m/r/0")[0]
 	for i := range c.nodes {
 		if nodeName(i) == first.Name {
@@ -72,8 +72,8 @@
 	return 0
 }
 
-func (c *cluster) otherThan(not int) int {
-	if not == 0 {
+func (c *cluster) otherNode(node int) int {
+	if node == 0 {
 		return 1
 	}
 	return 0
@@ -81,62 +81,62 @@
 
 // ---------------------------------------------------------------- schedulers
 
-// Guards against streams or new requests that depend on a scheduler that has died.
+// Guards against streams and new requests that fail or wait because a scheduler has died.
 func TestLossOfASchedulerTouchesNoStream(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		t.Run(fmt.Sprint("silent ", silent), func(t *testing.T) {
-			inCluster(t, shape{nodes: 5, engines: 2, sequences: 8}, func(c *cluster) {
-				scheduler := c.schedulerOf()
-				gateway := c.otherThan(scheduler)
+			withCluster(t, clusterSpec{nodes: 5, engines: 2, sequences: 8}, func(c *cluster) {
+				scheduler := c.schedulerNode()
+				gateway := c.otherNode(scheduler)
 				results := make(chan reply, 4)
 				for i := range 4 {
 					go func() { results <- c.stream(gateway, "dossier", fmt.Sprintf("s%d tokens=400", i)) }()
 				}
 				time.Sleep(time.Second)
 				if silent {
-					c.lose(peerAddress(scheduler))
+					c.isolate(peerAddress(scheduler))
 				} else {
 					c.crash(peerAddress(scheduler))
 				}
 				fresh := c.stream(gateway, "dossier", "new tokens=5")
-				if fresh.outcome != "completed" || fresh.first > 1500*time.Millisecond {
-					t.Errorf("a new request got its first token after %s: %+v", fresh.first, fresh)
+				if fresh.outcome != "completed" || fresh.firstToken > 1500*time.Millisecond {
+					t.Errorf("a new request got its first token after %s: %+v", fresh.firstToken, fresh)
 				}
-				t.Logf("first token of a new request %s after the loss", fresh.first)
+				t.Logf("first token of a new request %s after the loss", fresh.firstToken)
 				for range 4 {
 					if r := <-results; r.outcome != "completed" || strings.Count(r.text, " ") != 400 {
 						t.Errorf("a running stream ended as %q after %d tokens", r.outcome, strings.Count(r.text, " "))
 					}
 				}
-				c.find(peerAddress(scheduler))
+				c.reconnect(peerAddress(scheduler))
 			})
 		})
 	}
 }
 
-// Guards against queued requests lost with their scheduler.
+// Guards against queued requests that are lost with their scheduler.
 func TestQueuedRequestsSurviveTheirScheduler(t *testing.T) {
-	inCluster(t, shape{nodes: 4, engines: 1, sequences: 1}, func(c *cluster) {
-		scheduler := c.schedulerOf()
-		gateway := c.otherThan(scheduler)
+	withCluster(t, clusterSpec{nodes: 4, engines: 1, sequences: 1}, func(c *cluster) {
+		scheduler := c.schedulerNode()
+		gateway := c.otherNode(scheduler)
 		results := make(chan reply, 5)
 		for i := range 5 {
 			go func() { results <- c.stream(gateway, "dossier", fmt.Sprintf("q%d tokens=200", i)) }()
 		}
 		time.Sleep(500 * time.Millisecond)
-		c.lose(peerAddress(scheduler))
+		c.isolate(peerAddress(scheduler))
 		for range 5 {
 			if r := <-results; r.outcome != "completed" {
 				t.Errorf("a queued request ended as %q: %+v", r.outcome, r)
 			}
 		}
-		c.find(peerAddress(scheduler))
+		c.reconnect(peerAddress(scheduler))
 	})
 }
 
-// Guards against a lost failure domain that affects requests outside it.
+// Guards against a failed failure domain that affects requests outside it.
 func TestLossOfAFailureDomain(t *testing.T) {
-	inCluster(t, shape{nodes: 6, engines: 6, sequences: 4}, func(c *cluster) {
+	withCluster(t, clusterSpec{nodes: 6, engines: 6, sequences: 4}, func(c *cluster) {
 		results := make(chan reply, 8)
 		for i := range 8 {
 			go func() { results <- c.stream(1+i%2, "dossier", fmt.Sprintf("d%d tokens=300", i)) }()
@@ -144,7 +144,7 @@
 		time.Sleep(time.Second)
 		for i := range 6 {
 			if domain(i) == "a" {
-				c.lose(peerAddress(i), engineAddress(i))
+				c.isolate(peerAddress(i), engineAddress(i))
 			}
 		}
 		for range 8 {
@@ -153,20 +153,20 @@
 			}
 		}
 		for i := range 6 {
-			c.find(peerAddress(i), engineAddress(i))
+			c.reconnect(peerAddress(i), engineAddress(i))
 		}
 	})
 }
 
 // ---------------------------------------------------------------- configuration
 
-func (c *cluster) record(id string, parent int64, change string) chiveconfig.Record {
-	bundle := bundleFor(shape{engines: len(c.engines), sequences: 4, regions: c.shape.regions})
+func (c *cluster) newRecord(id string, parent int64, change string) chiveconfig.Record {
+	bundle := bundleFor(clusterSpec{engines: len(c.engines), sequences: 4, regions: c.spec.regions})
 	bundle.Base += "# " + change + "\n"
 	return chiveconfig.Record{ID: id, Kind: chiveconfig.KindPublish, Parent: parent, Author: id, Bundle: bundle}
 }
 
-func (c *cluster) append(r chiveconfig.Record) {
+func (c *cluster) appendRecord(r chiveconfig.Record) {
 	c.t.Helper()
 	data, err := r.Encode()
 	if err != nil {
@@ -175,7 +175,7 @@
 	c.log.Append(chiveconfig.Stream, data)
 }
 
-// watchVersions holds, all through a test, that the version in force on each node only rises.
+// watchVersions checks in the background that the configuration version in force on each node never decreases.
 func (c *cluster) watchVersions(ctx context.Context) (done func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var watching sync.WaitGroup
@@ -188,7 +188,7 @@
 				if node == nil {
 					continue
 				}
-				follower := lookup[*chivefollow.Follower](c, i, chivefollow.ServiceName)
+				follower := lookupService[*chivefollow.Follower](c, i, chivefollow.ServiceName)
 				f := follower.InForce()
 				if f == nil {
 					continue
@@ -207,14 +207,14 @@
 // Guards against concurrent publishes from the same version that both succeed.
 func TestRacingOperatorsHaveOneWinner(t *testing.T) {
 	for _, operators := range []int{2, 10} {
-		inCluster(t, shape{nodes: 8, engines: 1, sequences: 4}, func(c *cluster) {
+		withCluster(t, clusterSpec{nodes: 8, engines: 1, sequences: 4}, func(c *cluster) {
 			defer c.watchVersions(context.Background())()
 			for i := range operators {
-				c.append(c.record(fmt.Sprintf("op%d", i), 1, fmt.Sprint("change ", i)))
+				c.appendRecord(c.newRecord(fmt.Sprintf("op%d", i), 1, fmt.Sprint("change ", i)))
 			}
-			took := c.await(2*time.Second, "version 2 everywhere", func() bool { return c.allInForce(2) })
+			took := c.waitFor(2*time.Second, "version 2 everywhere", func() bool { return c.allInForce(2) })
 			t.Logf("%d operators: in force on 8 nodes after %s", operators, took)
-			want := c.record("op0", 1, "change 0").Bundle.Hash()
+			want := c.newRecord("op0", 1, "change 0").Bundle.Hash()
 			time.Sleep(time.Second)
 			for i := range c.nodes {
 				if f := c.inForce(i); f.Hash() != want || f.Version() != 2 {
@@ -227,128 +227,130 @@
 
 // Guards against a change that is lost or reverted around an outage of the log.
 func TestConfigurationThroughAnOutageOfTheLog(t *testing.T) {
-	inCluster(t, shape{nodes: 5, engines: 1, sequences: 4}, func(c *cluster) {
+	withCluster(t, clusterSpec{nodes: 5, engines: 1, sequences: 4}, func(c *cluster) {
 		defer c.watchVersions(context.Background())()
-		c.append(c.record("second", 1, "second"))
-		c.await(2*time.Second, "version 2", func() bool { return c.allInForce(2) })
-		c.lose(peerAddress(4))
-		c.append(c.record("third", 2, "third"))
+		c.appendRecord(c.newRecord("second", 1, "second"))
+		c.waitFor(2*time.Second, "version 2", func() bool { return c.allInForce(2) })
+		c.isolate(peerAddress(4))
+		c.appendRecord(c.newRecord("third", 2, "third"))
 		time.Sleep(5 * time.Second)
 		c.log.SetFaults(chivestand.LogFaults{Down: true, RetentionMs: 600_000})
 		time.Sleep(30 * time.Minute)
 		if r := c.stream(0, "nudge", "down tokens=5"); r.outcome != "completed" {
-			t.Errorf("serving stopped with the log down: %+v", r)
+			t.Errorf("request failed while the log was down: %+v", r)
 		}
 		_ = c.nodes[3].Stop(context.Background())
 		c.nodes[3] = nil
 		c.log.SetFaults(chivestand.LogFaults{Down: true, RetentionMs: 600_000})
-		c.startBlind(3)
+		c.startWithoutLog(3)
 		c.log.SetFaults(chivestand.LogFaults{RetentionMs: 600_000})
 		time.Sleep(30 * time.Minute)
-		c.find(peerAddress(4))
-		c.await(30*time.Second, "version 3 on the node that was frozen for an hour", func() bool { return c.allInForce(3) })
-		c.append(c.record("fourth", 3, "fourth"))
-		c.await(2*time.Second, "version 4 after the outage", func() bool { return c.allInForce(4) })
+		c.reconnect(peerAddress(4))
+		c.waitFor(30*time.Second, "version 3 on the node that was isolated for an hour", func() bool { return c.allInForce(3) })
+		c.appendRecord(c.newRecord("fourth", 3, "fourth"))
+		c.waitFor(2*time.Second, "version 4 after the outage", func() bool { return c.allInForce(4) })
 	})
 }
 
-// startBlind starts a node while the log is down: it knows its peers from the list of VMs alone.
-func (c *cluster) startBlind(i int) {
+// startWithoutLog starts a node while the log is down and waits until it has a configuration from a peer.
+func (c *cluster) startWithoutLog(i int) {
 	c.t.Helper()
 	c.start(i)
-	// The list of VMs is served by the same stand-in and is down too: the others find the new node instead.
-	c.await(30*time.Second, "a configuration from a peer", func() bool { return c.inForce(i) != nil })
+	// The log simulator also serves the list of VMs, which is therefore down too: the peers have to find the new
+	// node.
+	c.waitFor(30*time.Second, "a configuration from a peer", func() bool { return c.inForce(i) != nil })
 }
 
-// Guards against an older node stopped by a record of a newer release.
-func TestRecordThatCannotBeRead(t *testing.T) {
-	inCluster(t, shape{nodes: 3, engines: 1, sequences: 4}, func(c *cluster) {
+// Guards against a node that stops at a record it cannot read, such as one written by a newer release.
+func TestUnreadableRecordDoesNotStopLaterOnes(t *testing.T) {
+	withCluster(t, clusterSpec{nodes: 3, engines: 1, sequences: 4}, func(c *cluster) {
 		c.log.Append(chiveconfig.Stream, []byte("not a record"))
-		bad := c.record("future", 1, "x")
+		bad := c.newRecord("future", 1, "x")
 		bad.Bundle.Base += "quantum: true\n"
-		c.append(bad)
+		c.appendRecord(bad)
 		time.Sleep(2 * time.Second)
 		for i := range c.nodes {
-			state, ok := lookup[*chivefollow.Follower](c, i, chivefollow.ServiceName).Dump().(chivefollow.State)
+			state, ok := lookupService[*chivefollow.Follower](c, i, chivefollow.ServiceName).Dump().(chivefollow.State)
 			if !ok || state.Version != 1 || state.Accepted != 2 || !strings.Contains(state.Problem, "quantum") {
 				t.Errorf("node %d: %+v", i, state)
 			}
 		}
-		c.append(c.record("good", 2, "good"))
-		c.await(2*time.Second, "version 3", func() bool { return c.allInForce(3) })
+		c.appendRecord(c.newRecord("good", 2, "good"))
+		c.waitFor(2*time.Second, "version 3", func() bool { return c.allInForce(3) })
 	})
 }
 
-// Guards against sides that disagree after a partition has healed.
+// Guards against sides of a partition that still disagree after it has healed.
 func TestPartitionHeals(t *testing.T) {
-	inCluster(t, shape{nodes: 6, engines: 2, sequences: 4}, func(c *cluster) {
+	withCluster(t, clusterSpec{nodes: 6, engines: 2, sequences: 4}, func(c *cluster) {
 		defer c.watchVersions(context.Background())()
-		apart := map[string]bool{host(peerAddress(0)): true, host(peerAddress(3)): true}
+		smallSide := map[string]bool{host(peerAddress(0)): true, host(peerAddress(3)): true}
 		c.partition(func(from, to string) bool {
-			inside := apart[host(from)]
-			return inside != apart[host(to)] && host(to) != host(callerName) && host(from) != host(callerName) &&
+			inside := smallSide[host(from)]
+			return inside != smallSide[host(to)] && host(to) != host(callerAddress) && host(from) != host(callerAddress) &&
 				!strings.HasPrefix(from, "10.2.") && !strings.HasPrefix(to, "10.2.")
 		})
-		// Six members watch four each: the small side finds four gone in one round and the rest, if any, in the next.
-		c.await(4500*time.Millisecond, "both sides know of the cut", func() bool { return c.members(0) == 2 && c.members(1) == 4 })
-		c.append(c.record("during", 1, "during"))
+		// Each of six members probes four others: the small side detects four losses in one round, and the remaining
+		// ones, if any, in the next.
+		c.waitFor(4500*time.Millisecond, "both sides detect the partition", func() bool { return c.memberCount(0) == 2 && c.memberCount(1) == 4 })
+		c.appendRecord(c.newRecord("during", 1, "during"))
 		time.Sleep(time.Minute)
 		for node := range 2 {
 			if r := c.stream(node, "nudge", "cut tokens=5"); r.outcome != "completed" {
-				t.Errorf("node %d during the cut: %+v", node, r)
+				t.Errorf("node %d during the partition: %+v", node, r)
 			}
 		}
 		c.partition(nil)
-		c.await(20*time.Second, "one fleet again", func() bool { return c.members(0) == 6 && c.members(5) == 6 })
-		c.await(20*time.Second, "one version again", func() bool { return c.allInForce(2) })
+		c.waitFor(20*time.Second, "a single fleet", func() bool { return c.memberCount(0) == 6 && c.memberCount(5) == 6 })
+		c.waitFor(20*time.Second, "the same version everywhere", func() bool { return c.allInForce(2) })
 	})
 }
 
-// Guards against a partitioned region that stops serving or returns with an old configuration.
+// Guards against a partitioned region that stops serving, or that keeps an old configuration afterwards.
 func TestRegionsLoseEachOther(t *testing.T) {
-	inCluster(t, shape{nodes: 6, engines: 4, sequences: 4, regions: 2}, func(c *cluster) {
+	withCluster(t, clusterSpec{nodes: 6, engines: 4, sequences: 4, regions: 2}, func(c *cluster) {
 		defer c.watchVersions(context.Background())()
-		apart := map[string]bool{}
+		otherRegion := map[string]bool{}
 		for i := 1; i < 6; i += 2 {
-			apart[host(peerAddress(i))] = true
+			otherRegion[host(peerAddress(i))] = true
 		}
 		for i := 1; i < 4; i += 2 {
-			apart[host(engineAddress(i))] = true
+			otherRegion[host(engineAddress(i))] = true
 		}
 		c.partition(func(from, to string) bool {
-			return apart[host(from)] != apart[host(to)] && host(from) != host(callerName) && host(to) != host(callerName)
+			return otherRegion[host(from)] != otherRegion[host(to)] && host(from) != host(callerAddress) && host(to) != host(callerAddress)
 		})
-		c.append(c.record("during", 1, "during"))
-		c.await(10*time.Second, "each side alone", func() bool { return c.members(0) == 3 && c.members(1) == 3 })
+		c.appendRecord(c.newRecord("during", 1, "during"))
+		c.waitFor(10*time.Second, "each side lists only its own nodes", func() bool { return c.memberCount(0) == 3 && c.memberCount(1) == 3 })
 		for minute := range 10 {
 			for node := range c.nodes {
 				prompt := fmt.Sprintf("m%d-%d tokens=5", minute, node)
-				if r := c.stream(node, "nudge", prompt); r.outcome != "completed" || r.first > 500*time.Millisecond {
-					t.Errorf("node %d in minute %d: first token after %s, %+v", node, minute, r.first, r)
+				if r := c.stream(node, "nudge", prompt); r.outcome != "completed" || r.firstToken > 500*time.Millisecond {
+					t.Errorf("node %d in minute %d: first token after %s, %+v", node, minute, r.firstToken, r)
 				}
 			}
 			time.Sleep(time.Minute)
 		}
 		if c.inForce(0).Version() != 2 || c.inForce(1).Version() != 1 {
-			t.Errorf("in force: %d with the log, %d without", c.inForce(0).Version(), c.inForce(1).Version())
+			t.Errorf("version in force: %d in the region with the log, %d in the other", c.inForce(0).Version(), c.inForce(1).Version())
 		}
 		c.partition(nil)
-		took := c.await(30*time.Second, "one version everywhere", func() bool { return c.allInForce(2) })
-		t.Logf("one version everywhere %s after the cut healed", took)
-		c.await(30*time.Second, "one fleet", func() bool { return c.members(0) == 6 && c.members(1) == 6 })
+		took := c.waitFor(30*time.Second, "the same version everywhere", func() bool { return c.allInForce(2) })
+		t.Logf("the same version everywhere %s after the partition ended", took)
+		c.waitFor(30*time.Second, "a single fleet", func() bool { return c.memberCount(0) == 6 && c.memberCount(1) == 6 })
 	})
 }
 
-// Guards against a configuration lost when every node is replaced.
+// Guards against a configuration that is lost when all nodes are replaced.
 func TestEveryNodeIsReplaced(t *testing.T) {
-	inCluster(t, shape{nodes: 4, engines: 1, sequences: 4}, func(c *cluster) {
-		c.append(c.record("second", 1, "second"))
-		c.await(2*time.Second, "version 2", func() bool { return c.allInForce(2) })
+	withCluster(t, clusterSpec{nodes: 4, engines: 1, sequences: 4}, func(c *cluster) {
+		c.appendRecord(c.newRecord("second", 1, "second"))
+		c.waitFor(2*time.Second, "version 2", func() bool { return c.allInForce(2) })
 		for i := range c.nodes {
 			_ = c.nodes[i].Stop(context.Background())
 			c.nodes[i] = nil
 			c.start(i)
-			c.await(5*time.Second, "the replacement's configuration", func() bool { return c.allInForce(2) })
+			c.waitFor(5*time.Second, "the replacement's configuration", func() bool { return c.allInForce(2) })
 			if r := c.stream(i, "nudge", "new tokens=3"); r.outcome != "completed" {
 				t.Errorf("replacement %d: %+v", i, r)
 			}
@@ -360,15 +362,15 @@
 		for i := range c.nodes {
 			c.start(i)
 		}
-		c.await(5*time.Second, "all replaced", func() bool { return c.allInForce(2) })
+		c.waitFor(5*time.Second, "version 2 after all nodes were replaced", func() bool { return c.allInForce(2) })
 	})
 }
 
 // ---------------------------------------------------------------- leaving
 
-// Guards against new work for a leaving endpoint while the platform's list lags.
+// Guards against new work for a draining endpoint while the platform's list of VMs lags.
 func TestLeavingEndpointGetsNoNewWork(t *testing.T) {
-	inCluster(t, shape{nodes: 4, engines: 3, sequences: 4}, func(c *cluster) {
+	withCluster(t, clusterSpec{nodes: 4, engines: 3, sequences: 4}, func(c *cluster) {
 		c.log.SetFaults(chivestand.LogFaults{VMListLagMs: 30_000})
 		c.log.SetVMs(append(c.vms, chivelog.VM{Name: "e0", Address: engineAddress(0), Kind: chivelog.KindEndpoint, State: chivelog.StateLeaving}))
 		c.engines[0].SetFaults(chivestand.EngineFaults{Leaving: true})
@@ -388,20 +390,20 @@
 		before := [2]int{c.engines[0].Refused(), c.services[0].Refused()}
 		traffic(2)
 		if after := [2]int{c.engines[0].Refused(), c.services[0].Refused()}; after != before {
-			t.Errorf("work was offered to leaving endpoints: %v, then %v", before, after)
+			t.Errorf("leaving endpoints were offered new work: refusals %v before, %v after", before, after)
 		}
 	})
 }
 
-// Guards against requests interrupted by a planned stop.
+// Guards against requests that are interrupted by a planned stop.
 func TestPlannedStopInterruptsNothing(t *testing.T) {
-	inCluster(t, shape{nodes: 4, engines: 2, sequences: 16}, func(c *cluster) {
-		stopping := c.schedulerOf()
+	withCluster(t, clusterSpec{nodes: 4, engines: 2, sequences: 16}, func(c *cluster) {
+		stopping := c.schedulerNode()
 		results := make(chan reply, 12)
 		for i := range 12 {
 			node := stopping
 			if i%2 == 0 {
-				node = c.otherThan(stopping)
+				node = c.otherNode(stopping)
 			}
 			go func() { results <- c.stream(node, "dossier", fmt.Sprintf("p%d tokens=6000", i)) }()
 		}
@@ -410,11 +412,11 @@
 		go func() { stopped <- c.nodes[stopping].Stop(context.Background()) }()
 		worst := time.Duration(0)
 		for i := range 50 {
-			r := c.stream(c.otherThan(stopping), "nudge", fmt.Sprintf("n%d tokens=3", i))
+			r := c.stream(c.otherNode(stopping), "nudge", fmt.Sprintf("n%d tokens=3", i))
 			if r.outcome != "completed" {
-				t.Errorf("during the stop: %+v", r)
+				t.Errorf("request during the stop: %+v", r)
 			}
-			worst = max(worst, r.first)
+			worst = max(worst, r.firstToken)
 		}
 		if worst > 500*time.Millisecond {
 			t.Errorf("a nudge waited %s during the hand-over", worst)
--- a/chivenode/held_test.go
+++ b/chivenode/held_test.go
@@ -10,75 +10,76 @@
 	"time"
 )
 
-// deadlyWord in a prompt ends the engine that begins it.
-const deadlyWord = "deadly"
+// crashPrompt makes an engine crash when it receives a prompt that contains it.
+const crashPrompt = "deadly"
 
-// deadly is the engines of a cluster as processes that end under some requests and are back after a while.
-type deadly struct {
-	c       *cluster
-	mu      sync.Mutex
-	servers []*http.Server
-	ends    []time.Time
-	reached []time.Time
+// crashingEngines replaces the servers of a cluster's engines. A server closes all connections, as a crashed process
+// does, when it receives crashPrompt, and listens again after two seconds.
+type crashingEngines struct {
+	c          *cluster
+	mu         sync.Mutex
+	servers    []*http.Server
+	crashes    []time.Time
+	deliveries []time.Time
 }
 
-// makeDeadly puts such processes in the place of the cluster's engines.
-func makeDeadly(c *cluster) *deadly {
-	d := &deadly{c: c}
+// newCrashingEngines replaces the servers of all engines of a cluster.
+func newCrashingEngines(c *cluster) *crashingEngines {
+	e := &crashingEngines{c: c}
 	for i := range c.engines {
-		// The first server is the log's.
+		// The first server is that of the log simulator.
 		_ = c.servers[1+i].Close()
-		d.servers = append(d.servers, nil)
-		d.start(i)
+		e.servers = append(e.servers, nil)
+		e.start(i)
 	}
-	return d
+	return e
 }
 
-func (d *deadly) start(i int) {
-	engine := d.c.engines[i].Handler()
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.servers[i] = d.c.serve(engineAddress(i), http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+func (e *crashingEngines) start(i int) {
+	engine := e.c.engines[i].Handler()
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.servers[i] = e.c.serve(engineAddress(i), http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		if !strings.Contains(string(body), deadlyWord) {
+		if !strings.Contains(string(body), crashPrompt) {
 			r.Body = io.NopCloser(strings.NewReader(string(body)))
 			engine.ServeHTTP(w, r)
 			return
 		}
-		d.end(i)
+		e.crash(i)
 		panic(http.ErrAbortHandler)
 	}))
 }
 
-func (d *deadly) end(i int) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.reached = append(d.reached, time.Now())
-	server := d.servers[i]
+func (e *crashingEngines) crash(i int) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.deliveries = append(e.deliveries, time.Now())
+	server := e.servers[i]
 	if server == nil {
 		return
 	}
-	d.servers[i] = nil
-	d.ends = append(d.ends, time.Now())
+	e.servers[i] = nil
+	e.crashes = append(e.crashes, time.Now())
 	_ = server.Close()
-	time.AfterFunc(2*time.Second, func() { d.start(i) })
+	time.AfterFunc(2*time.Second, func() { e.start(i) })
 }
 
-// Guards against engines that crash again with each retry of the same request.
-func TestRequestThatEndsEnginesIsKeptFromThem(t *testing.T) {
+// Guards against a request that crashes one engine after another as it is retried.
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	const (
-		knownWithin = 3 * time.Second
-		triesAfter  = 3
+		quarantineWithin = 3 * time.Second
+		allowedCrashes   = 3
 	)
-	inCluster(t, shape{nodes: 3, engines: 6, sequences: 4}, func(c *cluster) {
-		d := makeDeadly(c)
+	withCluster(t, clusterSpec{nodes: 3, engines: 6, sequences: 4}, func(c *cluster) {
+		engines := newCrashingEngines(c)
 		var sending sync.WaitGroup
 		var mu sync.Mutex
-		var known time.Time
+		var quarantinedBy time.Time
 		unserved, refused := 0, 0
 		for i := range 120 {
 			sending.Go(func() {
-				r := c.stream(i%3, "nudge", deadlyWord)
+				r := c.stream(i%3, "nudge", crashPrompt)
 				mu.Lock()
 				defer mu.Unlock()
 				if r.status == http.StatusServiceUnavailable && r.outcome == "not-run" && r.header.Get("Retry-After") != "" {
@@ -88,38 +89,38 @@
 			sending.Go(func() {
 				sent := time.Now()
 				r := c.stream((i+1)%3, "nudge", fmt.Sprintf("sound %d tokens=3", i))
-				d.mu.Lock()
-				if len(d.ends) >= triesAfter {
-					known = d.ends[triesAfter-1].Add(knownWithin)
+				engines.mu.Lock()
+				if len(engines.crashes) >= allowedCrashes {
+					quarantinedBy = engines.crashes[allowedCrashes-1].Add(quarantineWithin)
 				}
-				d.mu.Unlock()
+				engines.mu.Unlock()
 				mu.Lock()
 				defer mu.Unlock()
-				if !known.IsZero() && sent.After(known) && r.outcome != "completed" {
+				if !quarantinedBy.IsZero() && sent.After(quarantinedBy) && r.outcome != "completed" {
 					unserved++
 				}
 			})
 			time.Sleep(500 * time.Millisecond)
 		}
 		sending.Wait()
-		d.mu.Lock()
-		defer d.mu.Unlock()
+		engines.mu.Lock()
+		defer engines.mu.Unlock()
 		late := 0
-		for _, at := range d.reached {
-			if at.After(known) {
+		for _, at := range engines.deliveries {
+			if at.After(quarantinedBy) {
 				late++
 			}
 		}
-		t.Logf("%d engines ended, %d tries were refused", len(d.ends), refused)
-		for _, at := range d.reached {
-			t.Logf("reached an engine %v after the first end", at.Sub(d.ends[0]))
+		t.Logf("%d engine crashes, %d requests refused", len(engines.crashes), refused)
+		for _, at := range engines.deliveries {
+			t.Logf("request reached an engine %v after the first crash", at.Sub(engines.crashes[0]))
 		}
-		if late > triesAfter || refused == 0 {
-			t.Errorf("the request reached engines %d times more than %v after the third had ended, want %d at most; %d tries were refused",
-				late, knownWithin, triesAfter, refused)
+		if late > allowedCrashes || refused == 0 {
+			t.Errorf("the request reached engines %d times later than %v after the third crash, want at most %d; %d requests were refused",
+				late, quarantineWithin, allowedCrashes, refused)
 		}
-		if unserved > triesAfter {
-			t.Errorf("%d other requests were not served once the nodes had to know; a trial may cost one each", unserved)
+		if unserved > allowedCrashes {
+			t.Errorf("%d other requests failed after the quarantine was due; each trial of the quarantined request may fail one", unserved)
 		}
 	})
 }
--- a/chivenode/node.go
+++ b/chivenode/node.go
@@ -37,13 +37,13 @@
 )
 
 var (
-	// errNoConfig is why a node without configuration is not ready.
+	// errNoConfig is the readiness error of a node without configuration.
 	errNoConfig = errors.New("no configuration in force yet")
-	// errStarting is why a node is not ready of which not all services have started.
+	// errStarting is the readiness error of a node that is still starting its services.
 	errStarting = errors.New("not all services have started yet")
 )
 
-// Node is one process between callers and endpoints.
+// Node is a router node that reads its configuration from the platform's log.
 type Node struct {
 	settings chivesettings.Settings
 	logger   *slog.Logger
@@ -56,7 +56,7 @@
 	started  atomic.Bool
 }
 
-// New puts a node together from its settings, on a network.
+// New returns a node with the given settings that uses the given network.
 func New(settings chivesettings.Settings, network chivewire.Network, logger *slog.Logger) (*Node, error) {
 	n := &Node{settings: settings, logger: logger, kernel: chivekernel.New()}
 	if err := n.assemble(network); err != nil {
@@ -65,7 +65,7 @@
 	return n, nil
 }
 
-// assemble makes the services, registers them in the order they start and connects those that follow changes.
+// assemble creates the services, registers them in start order and connects the change listeners.
 func (n *Node) assemble(network chivewire.Network) error {
 	s := n.settings
 	incarnation := time.Now().UnixMilli()
@@ -78,11 +78,11 @@
 		Site: s.Site, Self: s.Name, Retention: time.Duration(s.Platform.LogRetentionS) * time.Second,
 		Log: log, Mesh: n.mesh, Members: n.members, Logger: n.logger,
 	})
-	slots := chiveschedule.NewClient(s.Region, n.mesh, n.logger)
-	claims := chiveclaim.NewClient(identity, n.mesh)
+	schedulerClient := chiveschedule.NewClient(s.Region, n.mesh, n.logger)
+	claimClient := chiveclaim.NewClient(identity, n.mesh)
 	quota := chivequota.NewService(n.mesh)
 	quarantine := chivequarantine.New(chivequarantine.Options{Mesh: n.mesh, Logger: n.logger})
-	dispatcher := chivedispatch.New(s.Listen.Callers, network, slots, n.members, quarantine, n.logger)
+	dispatcher := chivedispatch.New(s.Listen.Callers, network, schedulerClient, n.members, quarantine, n.logger)
 	services := chivedispatch.NewServices(dispatcher, s.Region)
 	quarantine.OnFailure(func(failure chivehealth.Failure) (alive time.Time) {
 		if alive = dispatcher.PeerFailure(failure); alive.IsZero() {
@@ -91,25 +91,25 @@
 		return alive
 	})
 	n.gate = chivegate.New(chivegate.Options{
-		Node: s.Name, Address: s.Listen.Callers, Network: network, Models: dispatcher, Services: services, Claims: claims, Quota: quota,
+		Node: s.Name, Address: s.Listen.Callers, Network: network, Models: dispatcher, Services: services, Claims: claimClient, Quota: quota,
 		InForce: n.follower.InForce, Scope: metrics.Scope(), Logger: n.logger,
 	})
 	n.admin = chiveadmin.New(chiveadmin.Options{
 		Address: s.Listen.Admin, Network: network, Metrics: metrics.Handler(), State: n.kernel.Dump, Ready: n.ready, Explain: n.gate.Explain,
 	})
 	process := newProcess()
-	err := n.register([]named{
+	err := n.register([]namedService{
 		{processName, process},
 		{metricsName, metrics},
 		{logName, log},
 		{wireName, n.mesh},
-		{accountName, newAccount(metrics.Scope(), n.mesh, process)},
+		{gaugeReporterName, newGaugeReporter(metrics.Scope(), n.mesh, process)},
 		{chivemember.ServiceName, n.members},
 		{chivefollow.ServiceName, n.follower},
 		{chiveschedule.OwnerName, chiveschedule.NewOwner(n.mesh, n.logger)},
-		{chiveschedule.ClientName, slots},
+		{chiveschedule.ClientName, schedulerClient},
 		{chiveclaim.WriterName, chiveclaim.NewWriter(log, n.mesh, n.logger)},
-		{chiveclaim.ClientName, claims},
+		{chiveclaim.ClientName, claimClient},
 		{chivequota.ServiceName, quota},
 		{chivequarantine.ServiceName, quarantine},
 		{chiveorder.ServiceName, chiveorder.NewService(identity, s.Listen.Peers, network, log, n.logger)},
@@ -118,11 +118,11 @@
 		{chiveadmin.ServiceName, n.admin},
 		{chivegate.ServiceName, n.gate},
 	})
-	n.connect()
+	n.connectListeners()
 	return err
 }
 
-// self is this node as the others come to know it.
+// self returns this node's entry in the membership list.
 func (n *Node) self(incarnation int64) chivemember.Member {
 	s := n.settings
 	return chivemember.Member{
@@ -130,23 +130,23 @@
 	}
 }
 
-// configListener is a service that takes each configuration that comes into force.
+// configListener is implemented by services that need each configuration that takes effect.
 type configListener interface {
 	SetConfig(config *chiveconfig.Config)
 }
 
-// memberListener is a service that takes each change of the fleet.
+// memberListener is implemented by services that need each change of the membership list.
 type memberListener interface {
 	SetMembers(members []chivemember.Member)
 }
 
-// leavingListener is a service that takes the addresses of endpoints that take no new work.
+// leavingListener is implemented by services that need the addresses of draining endpoints, which accept no new work.
 type leavingListener interface {
 	SetLeaving(addresses []string)
 }
 
-// connect tells changes to every registered service that listens to them, in the order they start.
-func (n *Node) connect() {
+// connectListeners passes changes to every registered service that implements the matching listener, in start order.
+func (n *Node) connectListeners() {
 	configListeners := chivekernel.Offering[configListener](n.kernel)
 	memberListeners := chivekernel.Offering[memberListener](n.kernel)
 	leavingListeners := chivekernel.Offering[leavingListener](n.kernel)
@@ -166,12 +166,12 @@
 	})
 }
 
-type named struct {
+type namedService struct {
 	name    string
 	service chivekernel.Service
 }
 
-func (n *Node) register(services []named) error {
+func (n *Node) register(services []namedService) error {
 	for _, s := range services {
 		if err := n.kernel.Register(s.name, s.service); err != nil {
 			return err
@@ -180,7 +180,7 @@
 	return nil
 }
 
-// Kernel returns the node's services by name.
+// Kernel returns the kernel that holds the node's services.
 func (n *Node) Kernel() *chivekernel.Kernel { return n.kernel }
 
 // Start starts every service.
@@ -194,7 +194,8 @@
 	return nil
 }
 
-// ready returns why the node should get no traffic yet, or nil. The operators' address is served before the callers'.
+// ready returns why the node must not receive traffic yet, or nil. It has to check that all services have started,
+// because the admin server, which answers readiness checks, starts before the listener for callers.
 func (n *Node) ready() error {
 	if !n.started.Load() {
 		return errStarting
@@ -205,11 +206,11 @@
 	return nil
 }
 
-// AwaitReady waits until the node has a configuration.
+// AwaitReady waits until the node has started and has a configuration, or until the context ends.
 func (n *Node) AwaitReady(ctx context.Context) error {
 	for n.ready() != nil {
 		select {
-		case <-time.After(readyPoll):
+		case <-time.After(readyPollInterval):
 		case <-ctx.Done():
 			return fmt.Errorf("node %s: %w", n.settings.Name, n.ready())
 		}
@@ -218,10 +219,11 @@
 	return nil
 }
 
-const readyPoll = 20 * time.Millisecond
+const readyPollInterval = 20 * time.Millisecond
 
-// Stop is the planned stop: not ready first, serving on until the balancer has let go, shards handed over, then every
-// request in flight finished, whatever its length.
+// Stop shuts the node down without interrupting requests. It reports the node as not ready and as leaving, so that
+// its shards are handed over, serves on until the load balancer has stopped sending traffic, and then waits for all
+// requests in flight without a time limit.
 func (n *Node) Stop(ctx context.Context) error {
 	chiveevent.NodeStopping.Log(ctx, n.logger, slog.Int64("in_flight", n.gate.InFlight()))
 	n.admin.Leave()
@@ -232,7 +234,7 @@
 	return err
 }
 
-// logService is the platform's log as a service of the kernel.
+// logService registers the client of the platform's log as a service.
 type logService struct {
 	*chivelog.Client
 	transport *http.Transport
@@ -241,17 +243,17 @@
 func newLogService(s chivesettings.Settings, network chivewire.Network) *logService {
 	transport := &http.Transport{
 		DialContext:         chivewire.Dialer(network, s.Listen.Peers),
-		MaxIdleConnsPerHost: logConnections, IdleConnTimeout: logIdle,
+		MaxIdleConnsPerHost: logMaxIdleConns, IdleConnTimeout: logIdleTimeout,
 	}
 	return &logService{Client: chivelog.NewClient(s.Platform.Log, s.Platform.VMList, transport), transport: transport}
 }
 
 const (
-	logConnections = 4
-	logIdle        = 30 * time.Second
+	logMaxIdleConns = 4
+	logIdleTimeout  = 30 * time.Second
 )
 
-// Start does nothing: calls run on their callers' goroutines.
+// Start does nothing, because calls run on their callers' goroutines.
 func (l *logService) Start(context.Context) error { return nil }
 
 // Stop closes idle connections.
@@ -260,5 +262,5 @@
 	return nil
 }
 
-// Dump returns how many calls were made.
+// Dump returns the numbers of calls made.
 func (l *logService) Dump() any { return l.Counts() }
--- a/chivenode/node_test.go
+++ b/chivenode/node_test.go
@@ -12,13 +12,14 @@
 	"chivedrift/chivegate"
 )
 
-// TestMetricsTellTheCostOfControl holds that an operator can see what a node spends, by kind of message, without other tools.
-func TestMetricsTellTheCostOfControl(t *testing.T) {
-	inCluster(t, shape{nodes: 2, engines: 1, sequences: 4}, func(c *cluster) {
+// Guards against messages between nodes, by kind, and process usage that are missing from /metrics, where operators
+// need no other tool to see them.
+func TestMetricsShowControlPlaneOverhead(t *testing.T) {
+	withCluster(t, clusterSpec{nodes: 2, engines: 1, sequences: 4}, func(c *cluster) {
 		c.stream(0, "nudge", "x tokens=3")
 		c.stream(1, "nudge", "x tokens=3")
 		time.Sleep(10 * time.Second)
-		response, err := c.caller.Get("http://" + adminAddress(0) + "/metrics")
+		response, err := c.client.Get("http://" + adminAddress(0) + "/metrics")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -39,10 +40,10 @@
 }
 
 func TestEveryNodeServesEveryPath(t *testing.T) {
-	inCluster(t, shape{nodes: 3, engines: 2, sequences: 4}, func(c *cluster) {
+	withCluster(t, clusterSpec{nodes: 3, engines: 2, sequences: 4}, func(c *cluster) {
 		for node := range c.nodes {
 			streamed := c.stream(node, "nudge", "hello tokens=12")
-			if streamed.text != expected("hello tokens=12", 12) || !streamed.done || streamed.outcome != "completed" {
+			if streamed.text != expectedText("hello tokens=12", 12) || !streamed.done || streamed.outcome != "completed" {
 				t.Errorf("node %d streamed %+v", node, streamed)
 			}
 			whole := c.do(context.Background(), call{node: node, path: "/v1/chat/completions", body: chat("hello tokens=12", false)})
@@ -53,7 +54,7 @@
 					} `json:"message"`
 				} `json:"choices"`
 			}
-			if err := json.Unmarshal([]byte(whole.body), &answer); err != nil || answer.Choices[0].Message.Content != expected("hello tokens=12", 12) {
+			if err := json.Unmarshal([]byte(whole.body), &answer); err != nil || answer.Choices[0].Message.Content != expectedText("hello tokens=12", 12) {
 				t.Errorf("node %d answered %s (%v)", node, whole.body, err)
 			}
 			service := c.do(context.Background(), call{node: node, method: http.MethodGet, path: "/services/svc/x"})
--- a/chivenode/spare.go
+++ b/chivenode/optional_service.go
@@ -9,15 +9,16 @@
 	"chivedrift/chivekernel"
 )
 
-// spare is a service that a node can do without: callers are served also when the operators' address is taken.
-type spare struct {
+// optionalService wraps a service whose failure to start is logged and ignored. The admin server is optional, so that a
+// node serves callers even if its admin address is already in use.
+type optionalService struct {
 	chivekernel.Service
 	logger  *slog.Logger
 	started atomic.Bool
 }
 
-// Start starts the service, or logs why it cannot.
-func (s *spare) Start(ctx context.Context) error {
+// Start starts the service, or logs the error.
+func (s *optionalService) Start(ctx context.Context) error {
 	if err := s.Service.Start(ctx); err != nil {
 		chiveevent.AdminFailed.Log(ctx, s.logger, slog.String("error", err.Error()))
 		return nil
@@ -27,7 +28,7 @@
 }
 
 // Stop stops the service if it was started.
-func (s *spare) Stop(ctx context.Context) error {
+func (s *optionalService) Stop(ctx context.Context) error {
 	if !s.started.Load() {
 		return nil
 	}
--- a/chivenode/outcome_test.go
+++ b/chivenode/outcome_test.go
@@ -26,7 +26,7 @@
 	for name, fault := range faults {
 		for broken := 1; broken <= 2; broken++ {
 			t.Run(fmt.Sprintf("%s, %d engines", name, broken), func(t *testing.T) {
-				inCluster(t, shape{nodes: 3, engines: 3, sequences: 4}, func(c *cluster) {
+				withCluster(t, clusterSpec{nodes: 3, engines: 3, sequences: 4}, func(c *cluster) {
 					for i := range broken {
 						once := fault
 						once.Times = 1
@@ -34,7 +34,7 @@
 					}
 					for i := range 6 {
 						prompt := fmt.Sprintf("p%d tokens=20", i)
-						if r := c.stream(i%3, "dossier", prompt); r.text != expected(prompt, 20) || !r.done || r.outcome != "completed" {
+						if r := c.stream(i%3, "dossier", prompt); r.text != expectedText(prompt, 20) || !r.done || r.outcome != "completed" {
 							t.Errorf("request %d: outcome %q, done %t, text %q", i, r.outcome, r.done, r.text)
 						}
 					}
@@ -44,19 +44,19 @@
 	}
 }
 
-// Guards against a resumed whole answer that is truncated or doubled.
-func TestBrokenWholeAnswerIsCompletedElsewhere(t *testing.T) {
-	inCluster(t, shape{nodes: 2, engines: 2, sequences: 4}, func(c *cluster) {
+// Guards against a resumed answer without streaming that is truncated or contains text twice.
+func TestBrokenAnswerWithoutStreamingIsCompletedElsewhere(t *testing.T) {
+	withCluster(t, clusterSpec{nodes: 2, engines: 2, sequences: 4}, func(c *cluster) {
 		c.engines[0].SetFaults(chivestand.EngineFaults{CrashAfterTokens: 7, Times: 1})
 		c.engines[1].SetFaults(chivestand.EngineFaults{CrashAfterTokens: 7, Times: 1})
 		r := c.do(context.Background(), call{path: "/v1/chat/completions", body: chat("w tokens=20", false), class: "dossier"})
-		if !strings.Contains(r.body, strings.ReplaceAll(expected("w tokens=20", 20), `"`, `\"`)) || r.outcome != "completed" {
+		if !strings.Contains(r.body, strings.ReplaceAll(expectedText("w tokens=20", 20), `"`, `\"`)) || r.outcome != "completed" {
 			t.Errorf("answered %+v", r)
 		}
 	})
 }
 
-// Guards against requests that hang on a connection that has gone silent.
+// Guards against requests that hang on a connection whose peer has stopped responding.
 func TestSilentConnectionsAtEveryHop(t *testing.T) {
 	hops := map[string]func(from, to string) bool{
 		"node to engine": func(from, to string) bool { return strings.HasPrefix(from, "10.2.") || strings.HasPrefix(to, "10.2.") },
@@ -68,7 +68,7 @@
 	}
 	for name, hop := range hops {
 		t.Run(name, func(t *testing.T) {
-			inCluster(t, shape{nodes: 3, engines: 2, sequences: 4}, func(c *cluster) {
+			withCluster(t, clusterSpec{nodes: 3, engines: 2, sequences: 4}, func(c *cluster) {
 				for node := range c.nodes {
 					c.stream(node, "dossier", "warm tokens=3")
 					c.do(context.Background(), call{node: node, method: http.MethodGet, path: "/services/svc/x"})
@@ -85,7 +85,7 @@
 					time.Sleep(100 * time.Millisecond)
 					c.network.Silence(hop)
 				}()
-				if r := c.stream(0, "dossier", "mid tokens=50"); r.text != expected("mid tokens=50", 50) || r.outcome != "completed" {
+				if r := c.stream(0, "dossier", "mid tokens=50"); r.text != expectedText("mid tokens=50", 50) || r.outcome != "completed" {
 					t.Errorf("mid-stream: %+v", r)
 				}
 			})
@@ -93,10 +93,10 @@
 	}
 }
 
-// checkAfterSilence sends one request of each kind over connections that are open and dead.
+// checkAfterSilence sends one request of each kind over connections that are open but no longer carry data.
 func (c *cluster) checkAfterSilence(node int) {
 	c.t.Helper()
-	if r := c.stream(node, "dossier", "idle tokens=10"); r.text != expected("idle tokens=10", 10) || r.outcome != "completed" {
+	if r := c.stream(node, "dossier", "idle tokens=10"); r.text != expectedText("idle tokens=10", 10) || r.outcome != "completed" {
 		c.t.Errorf("idle, node %d: %+v", node, r)
 	}
 	if r := c.do(context.Background(), call{node: node, method: http.MethodGet, path: "/services/svc/x"}); r.outcome != "completed" {
@@ -108,48 +108,49 @@
 	}
 }
 
-// Guards against engines that go on generating for callers that have disconnected.
+// Guards against engines that continue to generate for callers that have disconnected.
 func TestEngineStopsWhenTheCallerGoesAway(t *testing.T) {
-	inCluster(t, shape{nodes: 2, engines: 1, sequences: 4}, func(c *cluster) {
+	withCluster(t, clusterSpec{nodes: 2, engines: 1, sequences: 4}, func(c *cluster) {
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 		defer cancel()
 		c.do(ctx, call{path: "/v1/chat/completions", body: chat("gone tokens=1000", true), class: "dossier"})
 		time.Sleep(time.Second)
 		if tokens := c.engines[0].Runs().Tokens; tokens > 40 {
-			t.Errorf("the engine went on to %d tokens", tokens)
+			t.Errorf("the engine generated %d tokens", tokens)
 		}
 	})
 }
 
-// Guards against a non-repeatable request that runs twice, or is reported as not run although it ran.
+// Guards against a request that must not be repeated and is executed twice, or is reported as not run although it was
+// executed.
 func TestRequestThatMayNotBeRepeatedRunsAtMostOnce(t *testing.T) {
 	cases := []struct {
-		name    string
-		faults  chivestand.ServiceFaults
-		gone    bool
-		outcome string
-		runs    int
+		name        string
+		faults      chivestand.ServiceFaults
+		unreachable bool
+		outcome     string
+		runs        int
 	}{
-		{"in order", chivestand.ServiceFaults{}, false, "completed", 1},
-		{"dies before it runs", chivestand.ServiceFaults{CrashBefore: true}, false, "unknown", 0},
-		{"dies after it ran", chivestand.ServiceFaults{CrashAfter: true}, false, "unknown", 1},
-		{"goes silent after it ran", chivestand.ServiceFaults{Stall: true}, false, "unknown", 1},
-		{"refuses", chivestand.ServiceFaults{Refuse: true}, false, "not-run", 0},
-		{"cannot be reached", chivestand.ServiceFaults{}, true, "not-run", 0},
+		{"no fault", chivestand.ServiceFaults{}, false, "completed", 1},
+		{"crashes before execution", chivestand.ServiceFaults{CrashBefore: true}, false, "unknown", 0},
+		{"crashes after execution", chivestand.ServiceFaults{CrashAfter: true}, false, "unknown", 1},
+		{"stalls after execution", chivestand.ServiceFaults{Stall: true}, false, "unknown", 1},
+		{"refuses the request", chivestand.ServiceFaults{Refuse: true}, false, "not-run", 0},
+		{"unreachable", chivestand.ServiceFaults{}, true, "not-run", 0},
 	}
-	for _, k := range cases {
+	for _, tc := range cases {
 		for _, key := range []string{"", "k1"} {
-			t.Run(fmt.Sprintf("%s, key %q", k.name, key), func(t *testing.T) {
-				inCluster(t, shape{nodes: 3, engines: 1, sequences: 4}, func(c *cluster) {
+			t.Run(fmt.Sprintf("%s, key %q", tc.name, key), func(t *testing.T) {
+				withCluster(t, clusterSpec{nodes: 3, engines: 1, sequences: 4}, func(c *cluster) {
 					for i, s := range c.services {
-						s.SetFaults(k.faults)
-						if k.gone {
-							c.lose(serviceAddress(i))
+						s.SetFaults(tc.faults)
+						if tc.unreachable {
+							c.isolate(serviceAddress(i))
 						}
 					}
 					r := c.do(context.Background(), call{path: "/services/svc/book", class: "confirm", key: key, body: "x"})
-					if runs := c.executions(""); r.outcome != k.outcome || runs != k.runs {
-						t.Errorf("outcome %q with %d executions, expected %q with %d: %+v", r.outcome, runs, k.outcome, k.runs, r)
+					if runs := c.executions(""); r.outcome != tc.outcome || runs != tc.runs {
+						t.Errorf("outcome %q with %d executions, expected %q with %d: %+v", r.outcome, runs, tc.outcome, tc.runs, r)
 					}
 				})
 			})
@@ -157,7 +158,7 @@
 	}
 }
 
-// executions counts what the services ran, all of it or under one key.
+// executions returns how many requests the services executed, in total or for one idempotency key.
 func (c *cluster) executions(key string) int {
 	total := 0
 	for _, s := range c.services {
@@ -173,12 +174,12 @@
 	return total
 }
 
-// Guards against retries by net/http of requests that may run once.
+// Guards against automatic retries by net/http of requests that must be executed at most once.
 func TestNetHTTPRepeatsNothingByItself(t *testing.T) {
 	for _, body := range []string{"", "x"} {
 		for _, key := range []string{"", "k"} {
 			t.Run(fmt.Sprintf("body %q key %q", body, key), func(t *testing.T) {
-				inCluster(t, shape{nodes: 1, engines: 1, sequences: 4}, func(c *cluster) {
+				withCluster(t, clusterSpec{nodes: 1, engines: 1, sequences: 4}, func(c *cluster) {
 					for range 8 {
 						c.do(context.Background(), call{method: http.MethodGet, path: "/services/svc/warm"})
 					}
@@ -196,9 +197,9 @@
 	}
 }
 
-// Guards against a keyed request that runs twice when sent through several nodes.
+// Guards against a keyed request that is executed twice when it is sent through several nodes at once.
 func TestKeyedRequestThroughManyNodesRunsOnce(t *testing.T) {
-	inCluster(t, shape{nodes: 5, engines: 1, sequences: 4}, func(c *cluster) {
+	withCluster(t, clusterSpec{nodes: 5, engines: 1, sequences: 4}, func(c *cluster) {
 		for _, s := range c.services {
 			s.SetFaults(chivestand.ServiceFaults{DelayMs: 300})
 		}
@@ -222,9 +223,9 @@
 	})
 }
 
-// Guards against resuming an answer from its beginning.
+// Guards against broken answers that are generated again from the beginning.
 func TestResumeWastesFewTokens(t *testing.T) {
-	inCluster(t, shape{nodes: 2, engines: 3, sequences: 4}, func(c *cluster) {
+	withCluster(t, clusterSpec{nodes: 2, engines: 3, sequences: 4}, func(c *cluster) {
 		const rounds, healthy, tokens, broken = 10, 6, 200, 60
 		needed, saved := 0, int64(0)
 		send := func(name string) {
@@ -255,7 +256,7 @@
 		for _, e := range c.engines {
 			computed += e.Runs().Tokens
 		}
-		t.Logf("%d tokens needed, %d computed with resume, %d had every break started over", needed, computed, computed+saved)
+		t.Logf("%d tokens needed, %d computed with resume, %d if every broken answer were started over", needed, computed, computed+saved)
 		if wasted := computed - int64(needed); wasted > int64(needed)/100 || saved == 0 {
 			t.Errorf("%d tokens wasted of %d, %d saved", wasted, needed, saved)
 		}
@@ -263,8 +264,8 @@
 }
 
 // Guards against treating a long answer without streaming as a stall.
-func TestLongWholeAnswerIsNoStall(t *testing.T) {
-	inCluster(t, shape{nodes: 2, engines: 2, sequences: 4}, func(c *cluster) {
+func TestLongAnswerWithoutStreamingIsNoStall(t *testing.T) {
+	withCluster(t, clusterSpec{nodes: 2, engines: 2, sequences: 4}, func(c *cluster) {
 		body := `{"model":"m","logprobs":true,"messages":[{"role":"user","content":"whole tokens=300"}]}`
 		r := c.do(context.Background(), call{path: "/v1/chat/completions", body: body, class: "dossier"})
 		runs := len(c.engines[0].Runs().Runs) + len(c.engines[1].Runs().Runs)
@@ -274,10 +275,10 @@
 	})
 }
 
-// Guards against a retry budget spent on attempts that reached no endpoint.
-func TestTriesThatReachNobodyCostNoBudget(t *testing.T) {
-	inCluster(t, shape{nodes: 1, engines: 1, sequences: 4}, func(c *cluster) {
-		c.lose(serviceAddress(0))
+// Guards against attempts that reach no endpoint but use up the retry budget.
+func TestAttemptsThatReachNoEndpointCostNoBudget(t *testing.T) {
+	withCluster(t, clusterSpec{nodes: 1, engines: 1, sequences: 4}, func(c *cluster) {
+		c.isolate(serviceAddress(0))
 		for i := range 60 {
 			if r := c.do(context.Background(), call{path: "/services/svc/book", class: "confirm", body: "x"}); r.outcome != "completed" {
 				t.Fatalf("request %d: %+v", i, r)
--- a/chivenode/preempt_test.go
+++ b/chivenode/preempt_test.go
@@ -8,22 +8,23 @@
 	"chivedrift/chivegate"
 )
 
-// Guards against an urgent request that waits behind background answers, or damages the one it preempts.
+// Guards against an urgent request that waits behind background answers, and against a preempted answer that loses or
+// repeats text.
 func TestUrgentRequestTakesASlotAndTheVictimLosesNoToken(t *testing.T) {
-	inCluster(t, shape{nodes: 3, engines: 1, sequences: 2}, func(c *cluster) {
+	withCluster(t, clusterSpec{nodes: 3, engines: 1, sequences: 2}, func(c *cluster) {
 		results := make(chan reply, 2)
 		for i := range 2 {
 			go func() { results <- c.stream(i, "bulk", fmt.Sprintf("b%d tokens=600", i)) }()
 		}
 		time.Sleep(time.Second)
 		nudge := c.stream(2, "nudge", "n tokens=10")
-		if nudge.outcome != "completed" || nudge.first > 500*time.Millisecond {
-			t.Errorf("the nudge got its first token after %s: %+v", nudge.first, nudge)
+		if nudge.outcome != "completed" || nudge.firstToken > 500*time.Millisecond {
+			t.Errorf("the nudge got its first token after %s: %+v", nudge.firstToken, nudge)
 		}
 		attempts := 0
 		for range 2 {
 			r := <-results
-			if r.outcome != "completed" || (r.text != expected("b0 tokens=600", 600) && r.text != expected("b1 tokens=600", 600)) {
+			if r.outcome != "completed" || (r.text != expectedText("b0 tokens=600", 600) && r.text != expectedText("b1 tokens=600", 600)) {
 				t.Errorf("a preempted answer ended as %q", r.outcome)
 			}
 			for node := range c.nodes {
@@ -33,15 +34,15 @@
 			}
 		}
 		if attempts != 3 {
-			t.Errorf("%d attempts for two answers; one preemption was due", attempts)
+			t.Errorf("%d attempts for two answers, expected 3 with one preemption", attempts)
 		}
-		t.Logf("first token of the nudge %s", nudge.first)
+		t.Logf("first token of the nudge %s", nudge.firstToken)
 	})
 }
 
-// Guards against preempting an answer that is protected from preemption.
+// Guards against preempting an answer whose class is protected from preemption.
 func TestProtectedAnswerIsNeverPreempted(t *testing.T) {
-	inCluster(t, shape{nodes: 3, engines: 1, sequences: 2}, func(c *cluster) {
+	withCluster(t, clusterSpec{nodes: 3, engines: 1, sequences: 2}, func(c *cluster) {
 		results := make(chan reply, 2)
 		for i := range 2 {
 			go func() { results <- c.stream(i, "dossier", fmt.Sprintf("d%d tokens=300", i)) }()
--- a/chivenode/process.go
+++ b/chivenode/process.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// processName is the name under which the process's own figures appear in the dump.
+// processName is the service name of the process statistics, which is also their key in the state dump.
 const processName = "process"
 
-// ProcessState is what the process spent since its start.
+// ProcessState holds resource usage of the process; CPU time and allocations are totals since its start.
 type ProcessState struct {
 	CPUUs       int64  `json:"cpu_us"`
 	UptimeMs    int64  `json:"uptime_ms"`
@@ -21,7 +21,8 @@
 	Goroutines  int    `json:"goroutines"`
 }
 
-// process reports what the node itself costs, so that operators need no other tool to hold it to its budget.
+// process reports the resource usage of the node's own process, so that operators need no other tool to check it
+// against its budget.
 type process struct {
 	started time.Time
 }
@@ -36,7 +37,7 @@
 // Stop does nothing.
 func (p *process) Stop(context.Context) error { return nil }
 
-// Dump returns the figures of now.
+// Dump returns the current statistics.
 func (p *process) Dump() any { return p.state() }
 
 func (p *process) state() ProcessState {
--- a/chivenode/readiness.go
+++ b/chivenode/readiness.go
@@ -10,12 +10,12 @@
 	"chivedrift/chivewire"
 )
 
-// readinessName is the name under which the readiness server registers.
+// readinessName is the service name of the readiness server.
 const readinessName = "readiness"
 
-const readinessHeaderTime = 2 * time.Second
+const readinessHeaderTimeout = 2 * time.Second
 
-// readiness answers the balancer's question whether the node should get new connections.
+// readiness serves the load balancer's readiness checks, which decide whether the node gets new connections.
 type readiness struct {
 	address string
 	network chivewire.Network
@@ -28,11 +28,11 @@
 	r := &readiness{address: address, network: network, ready: ready}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+path, r.serve)
-	r.server = chivewire.NewHTTPServer(&http.Server{Handler: mux, ReadHeaderTimeout: readinessHeaderTime})
+	r.server = chivewire.NewHTTPServer(&http.Server{Handler: mux, ReadHeaderTimeout: readinessHeaderTimeout})
 	return r
 }
 
-// Start listens for the balancer.
+// Start begins to serve readiness checks.
 func (r *readiness) Start(context.Context) error {
 	if err := r.server.Start(r.network, r.address); err != nil {
 		return fmt.Errorf("readiness: %w", err)
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// Leave makes the node not ready from now on.
+// Leave makes every later check report that the node is not ready.
 func (r *readiness) Leave() { r.leaving.Store(true) }
 
 // Stop closes the server.
@@ -51,14 +51,14 @@
 	return nil
 }
 
-// Dump returns whether the node is ready and why not.
+// Dump returns whether the node is leaving and why it is not ready.
 func (r *readiness) Dump() any {
 	dump := struct {
 		Leaving bool   `json:"leaving"`
-		Because string `json:"not_ready_because,omitempty"`
+		Reason  string `json:"not_ready_because,omitempty"`
 	}{Leaving: r.leaving.Load()}
 	if err := r.ready(); err != nil {
-		dump.Because = err.Error()
+		dump.Reason = err.Error()
 	}
 	return dump
 }
--- a/chivenode/ready_test.go
+++ b/chivenode/readiness_test.go
@@ -14,34 +14,34 @@
 	"chivedrift/chivestand"
 )
 
-// slowListen is a network on which listening at one address takes a while.
-type slowListen struct {
+// slowListenNetwork is a network on which Listen takes some time for one address.
+type slowListenNetwork struct {
 	*chivestand.Network
 	address string
-	takes   time.Duration
+	delay   time.Duration
 }
 
-func (n slowListen) Listen(address string) (net.Listener, error) {
+func (n slowListenNetwork) Listen(address string) (net.Listener, error) {
 	if address == n.address {
-		time.Sleep(n.takes)
+		time.Sleep(n.delay)
 	}
 	return n.Network.Listen(address)
 }
 
-// Guards against a node that says it is ready while it refuses its callers' connections.
+// Guards against a node that reports that it is ready while it still refuses connections from callers.
 func TestNodeIsReadyOnceItListensForCallers(t *testing.T) {
-	inCluster(t, shape{nodes: 1, engines: 1, sequences: 4}, func(c *cluster) {
-		const takes = 3 * time.Second
+	withCluster(t, clusterSpec{nodes: 1, engines: 1, sequences: 4}, func(c *cluster) {
+		const listenDelay = 3 * time.Second
 		settings := c.settings(1)
-		node, err := chivenode.New(settings, slowListen{c.network, settings.Listen.Callers, takes}, slog.New(slog.DiscardHandler))
+		node, err := chivenode.New(settings, slowListenNetwork{c.network, settings.Listen.Callers, listenDelay}, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
 		started := make(chan error, 1)
 		go func() { started <- node.Start(context.Background()) }()
 		early := 0
-		for began := time.Now(); time.Since(began) < takes-100*time.Millisecond; time.Sleep(100 * time.Millisecond) {
-			response, err := c.caller.Get("http://" + settings.Listen.Admin + "/readyz")
+		for began := time.Now(); time.Since(began) < listenDelay-100*time.Millisecond; time.Sleep(100 * time.Millisecond) {
+			response, err := c.client.Get("http://" + settings.Listen.Admin + "/readyz")
 			if err != nil {
 				continue
 			}
@@ -51,7 +51,7 @@
 			}
 		}
 		if early > 0 {
-			t.Errorf("said %d times that it is ready before it listened", early)
+			t.Errorf("reported ready %d times before it listened for callers", early)
 		}
 		if err := <-started; err != nil {
 			t.Fatal(err)
--- a/chivenode/roster.go
+++ b/chivenode/roster.go
@@ -13,185 +13,188 @@
 	"chivedrift/chivelog"
 )
 
-// rosterName is the name under which the roster registers.
-const rosterName = "roster"
+// discoveryName is the service name of the peer discovery.
+const discoveryName = "roster"
 
 const (
-	// announceTimeout bounds one try to leave the node's address in the store.
+	// announceTimeout bounds one attempt to write the node's address to the store.
 	announceTimeout = 2 * time.Second
-	// announceFirst and announceMost space the tries while the store is away.
-	announceFirst = 200 * time.Millisecond
-	announceMost  = 2 * time.Second
-	// announceLook is how often a node looks whether its address is needed in the store.
-	announceLook = 200 * time.Millisecond
+	// announceMinBackoff and announceMaxBackoff bound the delay between attempts while the store does not answer.
+	announceMinBackoff = 200 * time.Millisecond
+	announceMaxBackoff = 2 * time.Second
+	// announceCheckInterval is how often a node checks whether it has to announce its address.
+	announceCheckInterval = 200 * time.Millisecond
 )
 
-// roster knows the addresses of nodes that may exist: those left in the store, and the seeds of the settings. It takes the
-// place of a list of VMs.
+// peerDiscovery returns the addresses of nodes that may exist: the seeds from the settings and the addresses that
+// nodes have announced in the store. It takes the place of the platform's list of VMs.
 //
-// Few nodes leave their address: those that read the store for all, or know no other node. A node that starts finds the fleet through the seeds,
-// and through those few when no seed answers. Were each to write its address and to read all of them, and again
-// every 20 s, 18 nodes that start twice in a minute would take 36 writes and 197 reads of the store, a fifth of all their calls, to learn what
-// the seeds tell (counted).
-type roster struct {
-	self   string
-	region string
-	domain string
-	topic  chivelog.KeyedTopic
-	// needed reports whether the others may need this node's address.
-	needed func() bool
-	logger *slog.Logger
-	mu     sync.Mutex
-	seeds  []string
-	listed map[string]string
-	// left tells that the node's address is in the store, as far as is known.
-	left   bool
-	duties chivekernel.Duties
-}
-
-func newRoster(self, region, domain string, seeds []string, topic chivelog.KeyedTopic, needed func() bool, logger *slog.Logger) *roster {
-	return &roster{
-		self: self, region: region, domain: domain, seeds: seeds, topic: topic, needed: needed, logger: logger, listed: make(map[string]string),
+// Only nodes that read the store on behalf of the others, or that know no other node, announce their address. A
+// starting node finds the fleet through the seeds, or through the announced addresses if no seed answers. If each
+// node wrote its address, read all of them and read them again every 20 s, 18 nodes that start twice within a minute
+// would make 36 writes and 197 reads, a fifth of all their store calls, to learn what the seeds already provide
+// (counted).
+type peerDiscovery struct {
+	self          string
+	region        string
+	failureDomain string
+	topic         chivelog.KeyedTopic
+	// announceNeeded reports whether other nodes may depend on finding this node's address in the store.
+	announceNeeded func() bool
+	logger         *slog.Logger
+	mu             sync.Mutex
+	seeds          []string
+	published      map[string]string
+	// announced reports whether the node's address is in the store, as far as this node knows.
+	announced bool
+	tasks     chivekernel.Duties
+}
+
+func newPeerDiscovery(self, region, failureDomain string, seeds []string, topic chivelog.KeyedTopic, announceNeeded func() bool, logger *slog.Logger) *peerDiscovery {
+	return &peerDiscovery{
+		self: self, region: region, failureDomain: failureDomain, seeds: seeds, topic: topic, announceNeeded: announceNeeded, logger: logger, published: make(map[string]string),
 	}
 }
 
-// Start begins to look whether the node's address is needed in the store.
-func (r *roster) Start(ctx context.Context) error {
-	r.duties.Begin(ctx, r.run)
+// Start begins to check whether the node has to announce its address.
+func (d *peerDiscovery) Start(ctx context.Context) error {
+	d.tasks.Begin(ctx, d.run)
 	return nil
 }
 
-// Stop ends that.
-func (r *roster) Stop(context.Context) error {
-	r.duties.End()
+// Stop ends the checks.
+func (d *peerDiscovery) Stop(context.Context) error {
+	d.tasks.End()
 	return nil
 }
 
-// Dump returns the addresses.
-func (r *roster) Dump() any { return r.addresses() }
+// Dump returns the known addresses.
+func (d *peerDiscovery) Dump() any { return d.addresses() }
 
-// run leaves the address in the store once it is needed there, and again when the store may have lost it; a try whose result is not known is repeated
-// like one that failed, since written twice it says the same.
-func (r *roster) run(ctx context.Context) {
-	told := false
-	pause := announceFirst
+// run announces the address when that becomes necessary, and again after the store may have lost it. An attempt with an
+// unknown result is repeated like a failed one, because writing the same record twice is harmless.
+func (d *peerDiscovery) run(ctx context.Context) {
+	logged := false
+	backoff := announceMinBackoff
 	for ctx.Err() == nil {
-		if r.isLeft() || !r.needed() {
-			pause = announceFirst
-			wait(ctx, announceLook)
+		if d.isAnnounced() || !d.announceNeeded() {
+			backoff = announceMinBackoff
+			sleepContext(ctx, announceCheckInterval)
 			continue
 		}
-		err := r.leave(ctx)
+		err := d.announce(ctx)
 		if err == nil {
 			continue
 		}
-		if !told && ctx.Err() == nil {
-			told = true
-			chiveevent.StoreLost.Log(ctx, r.logger, slog.String("for", "announcement"), slog.String("error", err.Error()))
+		if !logged && ctx.Err() == nil {
+			logged = true
+			chiveevent.StoreLost.Log(ctx, d.logger, slog.String("for", "announcement"), slog.String("error", err.Error()))
 		}
-		wait(ctx, pause)
-		pause = min(2*pause, announceMost)
+		sleepContext(ctx, backoff)
+		backoff = min(2*backoff, announceMaxBackoff)
 	}
 }
 
-// leave writes the address.
-func (r *roster) leave(ctx context.Context) error {
+// announce writes the address to the store.
+func (d *peerDiscovery) announce(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
-	r.mu.Lock()
-	r.left = true
-	r.mu.Unlock()
-	err := r.topic.Put(ctx, r.self, []byte(r.domain))
+	d.mu.Lock()
+	d.announced = true
+	d.mu.Unlock()
+	err := d.topic.Put(ctx, d.self, []byte(d.failureDomain))
 	if err != nil {
-		r.Restored()
+		d.Restored()
 	}
 	return err
 }
 
-func (r *roster) isLeft() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.left
+func (d *peerDiscovery) isAnnounced() bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.announced
 }
 
-// Restored hears that the store has come back from an older copy, which may lack the address.
-func (r *roster) Restored() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.left = false
+// Restored marks the address as not announced, so that it is written again. It is called when the store has been
+// restored from an older copy, which may lack the address.
+func (d *peerDiscovery) Restored() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.announced = false
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleepContext(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
 	case <-ctx.Done():
 	}
 }
 
-// Replace takes a snapshot of the store.
-func (r *roster) Replace(snapshot chivelog.KeyedBatch) {
-	r.mu.Lock()
-	r.listed = make(map[string]string, len(snapshot.Records))
-	r.mu.Unlock()
-	r.Apply(snapshot.Records)
+// Replace replaces the announced addresses with those of a snapshot.
+func (d *peerDiscovery) Replace(snapshot chivelog.KeyedBatch) {
+	d.mu.Lock()
+	d.published = make(map[string]string, len(snapshot.Records))
+	d.mu.Unlock()
+	d.Apply(snapshot.Records)
 }
 
-// Apply takes later records of the store.
-func (r *roster) Apply(records []chivelog.KeyedRecord) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// Apply applies later records to the announced addresses.
+func (d *peerDiscovery) Apply(records []chivelog.KeyedRecord) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	for _, record := range records {
 		if len(record.Value) == 0 {
-			delete(r.listed, record.Key)
+			delete(d.published, record.Key)
 			continue
 		}
-		// Anything else that somebody left there would be dialled for ever.
+		// A key that is not an address would be dialled forever.
 		if _, err := netip.ParseAddrPort(record.Key); err != nil {
-			chiveevent.NodeUnreadable.Log(context.Background(), r.logger, slog.String("key", record.Key), slog.String("error", err.Error()))
+			chiveevent.NodeUnreadable.Log(context.Background(), d.logger, slog.String("key", record.Key), slog.String("error", err.Error()))
 			continue
 		}
-		r.listed[record.Key] = string(record.Value)
+		d.published[record.Key] = string(record.Value)
 	}
 }
 
-// Lost hears that the store does not answer.
-func (r *roster) Lost(err error) {
-	chiveevent.StoreLost.Log(context.Background(), r.logger, slog.String("for", "nodes"), slog.String("error", err.Error()))
+// Lost logs that the store does not answer.
+func (d *peerDiscovery) Lost(err error) {
+	chiveevent.StoreLost.Log(context.Background(), d.logger, slog.String("for", "nodes"), slog.String("error", err.Error()))
 }
 
-// Back hears that the store answers again.
-func (r *roster) Back() {
-	chiveevent.StoreBack.Log(context.Background(), r.logger, slog.String("for", "nodes"))
+// Back logs that the store answers again.
+func (d *peerDiscovery) Back() {
+	chiveevent.StoreBack.Log(context.Background(), d.logger, slog.String("for", "nodes"))
 }
 
-func (r *roster) addresses() []string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	addresses := append([]string(nil), r.seeds...)
-	for address := range r.listed {
+func (d *peerDiscovery) addresses() []string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	addresses := append([]string(nil), d.seeds...)
+	for address := range d.published {
 		addresses = append(addresses, address)
 	}
 	return addresses
 }
 
-// hasSeeds reports whether the settings name another node that may exist.
-func (r *roster) hasSeeds() bool {
-	return slices.ContainsFunc(r.seeds, func(seed string) bool { return seed != r.self })
+// hasSeeds reports whether the settings name a node other than this one as a seed.
+func (d *peerDiscovery) hasSeeds() bool {
+	return slices.ContainsFunc(d.seeds, func(seed string) bool { return seed != d.self })
 }
 
 // isSeed reports whether the settings name this node as a seed.
-func (r *roster) isSeed() bool { return slices.Contains(r.seeds, r.self) }
+func (d *peerDiscovery) isSeed() bool { return slices.Contains(d.seeds, d.self) }
 
-// VMs returns the nodes that may exist; each is named by its peer address, which is all that a seed tells.
-func (r *roster) VMs(context.Context) ([]chivelog.VM, error) {
+// VMs returns the nodes that may exist. Each is named by its peer address, because a seed has no other name, and gets
+// this node's own region.
+func (d *peerDiscovery) VMs(context.Context) ([]chivelog.VM, error) {
 	seen := make(map[string]bool)
 	var vms []chivelog.VM
-	for _, address := range r.addresses() {
+	for _, address := range d.addresses() {
 		if seen[address] {
 			continue
 		}
 		seen[address] = true
-		vms = append(vms, chivelog.VM{Name: address, Address: address, Region: r.region, Kind: chivelog.KindEntry, State: chivelog.StateLive})
+		vms = append(vms, chivelog.VM{Name: address, Address: address, Region: d.region, Kind: chivelog.KindEntry, State: chivelog.StateLive})
 	}
 	return vms, nil
 }
--- a/chivenode/start_hold.go
+++ b/chivenode/start_hold.go
@@ -8,53 +8,55 @@
 )
 
 const (
-	// unknownLeast is how long a node of a large fleet waits at least for endpoints from its peers before it reads them from the store itself.
-	unknownLeast = 4 * time.Second
-	// unknownSpread is the range in which nodes draw what they wait beyond that, so that they do not all read at once where those that read for
-	// all cannot.
-	unknownSpread = 8 * time.Second
+	// minPeerWait is the minimum time for which a node of a large fleet waits for endpoints from its peers before it
+	// reads them from the store itself.
+	minPeerWait = 4 * time.Second
+	// peerWaitJitter is the range of a random addition to minPeerWait. It keeps nodes from all reading the store at the
+	// same time when the designated readers cannot read it.
+	peerWaitJitter = 8 * time.Second
 )
 
-// startHold decides whether a node that starts leaves reading the endpoints to others. The store's read bandwidth is shared by all readers: when a
-// whole fleet starts and each node reads all endpoints, no read completes.
-type startHold struct {
-	began time.Time
-	// until is when the node reads by itself if it still knows no endpoints.
-	until time.Time
-	// isSeed reports whether this node is a seed, hasSeeds whether the settings name other nodes that may exist.
-	isSeed   func() bool
-	hasSeeds func() bool
-	members  func() int
-	settled  func() bool
-	// readByOthers reports whether other nodes read the store for this one, knows whether it has known an endpoint.
-	readByOthers func() bool
-	knows        func() bool
+// firstReadPolicy decides whether a starting node leaves the first read of the endpoints to other nodes. All readers
+// share the store's read bandwidth: if every node of a large fleet reads all endpoints at start, no read completes.
+type firstReadPolicy struct {
+	started time.Time
+	// readAt is when the node reads the store itself if it has received no endpoints.
+	readAt time.Time
+	// isSeed reports whether this node is a seed; hasSeeds reports whether the settings name other nodes as seeds.
+	isSeed       func() bool
+	hasSeeds     func() bool
+	memberCount  func() int
+	fleetSettled func() bool
+	// readByOthers reports whether other nodes read the store for this one; hasSeenEndpoint reports whether this node
+	// has known an endpoint since its start.
+	readByOthers    func() bool
+	hasSeenEndpoint func() bool
 }
 
-func (n *StoreNode) newStartHold(roster *roster) *startHold {
-	began := time.Now()
-	return &startHold{
-		began: began, until: began.Add(unknownLeast + rand.N(unknownSpread)), isSeed: roster.isSeed, hasSeeds: roster.hasSeeds,
-		members: func() int { return len(n.members.Members()) }, settled: func() bool { return n.grants.Settled() }, readByOthers: n.gossip.Held, knows: n.directory.Knew,
+func (n *StoreNode) newFirstReadPolicy(discovery *peerDiscovery) *firstReadPolicy {
+	started := time.Now()
+	return &firstReadPolicy{
+		started: started, readAt: started.Add(minPeerWait + rand.N(peerWaitJitter)), isSeed: discovery.isSeed, hasSeeds: discovery.hasSeeds,
+		memberCount: func() int { return len(n.members.Members()) }, fleetSettled: func() bool { return n.grants.Settled() }, readByOthers: n.gossip.Held, hasSeenEndpoint: n.directory.Knew,
 	}
 }
 
-// holds reports whether the first read of the endpoints is to wait.
-func (h *startHold) holds() bool {
+// defers reports whether the first read of the endpoints has to wait.
+func (p *firstReadPolicy) defers() bool {
 	now := time.Now()
-	members := h.members()
+	members := p.memberCount()
 	switch {
-	case h.isSeed():
-		// The other nodes connect to the seeds first and can take the endpoints from them.
+	case p.isSeed():
+		// Other nodes connect to the seeds first and can get the endpoints from them.
 		return false
 	case members == 1:
-		return h.hasSeeds() && now.Sub(h.began) < chivegossip.SettleFor
+		return p.hasSeeds() && now.Sub(p.started) < chivegossip.SettleFor
 	case members <= chivegossip.Readers:
 		return false
-	case !h.settled():
+	case !p.fleetSettled():
 		return true
-	case !h.readByOthers():
+	case !p.readByOthers():
 		return false
 	}
-	return h.knows() || now.Before(h.until)
+	return p.hasSeenEndpoint() || now.Before(p.readAt)
 }
--- a/chivenode/startup.go
+++ b/chivenode/startup.go
@@ -10,64 +10,65 @@
 	"chivedrift/chivekernel"
 )
 
-// startupName is the name under which the record of the start registers.
+// startupName is the service name of the startup tracker.
 const startupName = "startup"
 
-// startupLook is how often a starting node looks how far it is: the lines it writes are that exact, in milliseconds of its own time.
-const startupLook = 10 * time.Millisecond
+// startupPollInterval is how often a starting node checks its progress. It bounds the error of the logged times.
+const startupPollInterval = 10 * time.Millisecond
 
-// startup records what a node waited for from its start until it was ready and knew its fleet, and logs it, so that a slow recovery of
-// hundreds of nodes shows the step that took long.
-type startup struct {
+// startupTracker records and logs how long a node took to get a configuration and endpoints, to become ready and to
+// know its fleet. In a slow recovery of hundreds of nodes, the log shows which step took long.
+type startupTracker struct {
 	logger *slog.Logger
-	// notReady, settled and nodes tell how far the node is.
-	notReady func() error
-	settled  func() bool
-	nodes    func() int
-
-	mu    sync.Mutex
-	began time.Time
-	// table and endpoints are when the first configuration was in force and the first endpoints were known, since the start; 0 before.
+	// notReady, fleetSettled and nodeCount report the current progress.
+	notReady     func() error
+	fleetSettled func() bool
+	nodeCount    func() int
+
+	mu      sync.Mutex
+	started time.Time
+	// table, endpoints, ready and fleet are the times from the start until the first configuration was in force, the
+	// first endpoints were known, the node was ready and the fleet was known; 0 for steps to come.
 	table     time.Duration
 	endpoints time.Duration
 	ready     time.Duration
 	fleet     time.Duration
-	duties    chivekernel.Duties
+	tasks     chivekernel.Duties
 }
 
-func newStartup(logger *slog.Logger, notReady func() error, settled func() bool, nodes func() int) *startup {
-	return &startup{logger: logger, notReady: notReady, settled: settled, nodes: nodes, began: time.Now()}
+func newStartupTracker(logger *slog.Logger, notReady func() error, fleetSettled func() bool, nodeCount func() int) *startupTracker {
+	return &startupTracker{logger: logger, notReady: notReady, fleetSettled: fleetSettled, nodeCount: nodeCount, started: time.Now()}
 }
 
-// noteTable hears of a configuration in force.
-func (s *startup) noteTable() { s.note(&s.table) }
+// recordTable records that a configuration is in force.
+func (s *startupTracker) recordTable() { s.record(&s.table) }
 
-// noteEndpoints hears of endpoints.
-func (s *startup) noteEndpoints() { s.note(&s.endpoints) }
+// recordEndpoints records that endpoints are known.
+func (s *startupTracker) recordEndpoints() { s.record(&s.endpoints) }
 
-// note keeps the time of a step's first time.
-func (s *startup) note(step *time.Duration) {
+// record stores the time since the start unless the step has been recorded before.
+func (s *startupTracker) record(step *time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if *step == 0 {
-		*step = time.Since(s.began)
+		*step = time.Since(s.started)
 	}
 }
 
-// Start begins to look.
-func (s *startup) Start(ctx context.Context) error {
-	s.duties.Begin(ctx, s.run)
+// Start begins to poll the progress.
+func (s *startupTracker) Start(ctx context.Context) error {
+	s.tasks.Begin(ctx, s.run)
 	return nil
 }
 
-// Stop ends that.
-func (s *startup) Stop(context.Context) error {
-	s.duties.End()
+// Stop ends the polling.
+func (s *startupTracker) Stop(context.Context) error {
+	s.tasks.End()
 	return nil
 }
 
-// Dump returns the steps in milliseconds since the start; 0 for those to come.
-func (s *startup) Dump() any {
+// Dump returns the steps in milliseconds since the start; 0 for steps to come.
+func (s *startupTracker) Dump() any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return struct {
@@ -78,12 +79,12 @@
 	}{s.table.Milliseconds(), s.endpoints.Milliseconds(), s.ready.Milliseconds(), s.fleet.Milliseconds()}
 }
 
-// run looks until the node is ready and knows its fleet.
-func (s *startup) run(ctx context.Context) {
-	tick := time.NewTicker(startupLook)
+// run polls until the node is ready and knows its fleet.
+func (s *startupTracker) run(ctx context.Context) {
+	tick := time.NewTicker(startupPollInterval)
 	defer tick.Stop()
-	ready, known := false, false
-	for !ready || !known {
+	ready, fleetKnown := false, false
+	for !ready || !fleetKnown {
 		select {
 		case <-ctx.Done():
 			return
@@ -93,24 +94,24 @@
 			ready = true
 			s.logReady(ctx)
 		}
-		if !known && s.settled() {
-			known = true
+		if !fleetKnown && s.fleetSettled() {
+			fleetKnown = true
 			s.logFleet(ctx)
 		}
 	}
 }
 
-func (s *startup) logReady(ctx context.Context) {
-	s.note(&s.ready)
+func (s *startupTracker) logReady(ctx context.Context) {
+	s.record(&s.ready)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	chiveevent.NodeReady.Log(ctx, s.logger, slog.Int64("table_ms", s.table.Milliseconds()), slog.Int64("endpoints_ms", s.endpoints.Milliseconds()),
-		slog.Int64("ready_ms", s.ready.Milliseconds()), slog.Int("nodes", s.nodes()))
+		slog.Int64("ready_ms", s.ready.Milliseconds()), slog.Int("nodes", s.nodeCount()))
 }
 
-func (s *startup) logFleet(ctx context.Context) {
-	s.note(&s.fleet)
+func (s *startupTracker) logFleet(ctx context.Context) {
+	s.record(&s.fleet)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	chiveevent.FleetKnown.Log(ctx, s.logger, slog.Int64("fleet_ms", s.fleet.Milliseconds()), slog.Int("nodes", s.nodes()))
+	chiveevent.FleetKnown.Log(ctx, s.logger, slog.Int64("fleet_ms", s.fleet.Milliseconds()), slog.Int("nodes", s.nodeCount()))
 }
--- a/chivenode/store_node.go
+++ b/chivenode/store_node.go
@@ -39,63 +39,65 @@
 const (
 	tableFeedName     = "table feed"
 	directoryFeedName = "directory feed"
-	rosterFeedName    = "roster feed"
+	discoveryFeedName = "roster feed"
 
-	// rosterPace spaces the looks at the nodes' topic: nodes that know each other pass new ones on themselves.
-	rosterPace = 20 * time.Second
-	// stopMargin is the part of the grace time kept for the last lines of the log and the exit itself.
+	// discoveryReadInterval is the minimum time between two reads of the nodes' topic. It can be long, because nodes
+	// that know each other pass on new nodes themselves.
+	discoveryReadInterval = 20 * time.Second
+	// stopMargin is the part of the grace time that is reserved for the last log lines and the exit of the process.
 	stopMargin = 400 * time.Millisecond
-	// memoryShare is the part of a process's memory at which the collector works harder.
-	memoryShare = 0.6
-	megabyte    = 1 << 20
+	// memoryLimitShare is the share of the process's memory at which the garbage collector starts to work harder.
+	memoryLimitShare = 0.6
+	megabyte         = 1 << 20
 )
 
-// StoreNode is one process between callers and endpoints on a platform that keeps configuration and endpoints in a store.
+// StoreNode is a router node on a platform that keeps configuration and endpoints in a metadata store.
 type StoreNode struct {
-	settings   chivesettings.StoreNode
-	logger     *slog.Logger
-	kernel     *chivekernel.Kernel
-	mesh       *chivewire.Mesh
-	members    *chivemember.Service
-	tables     *chivetable.Service
-	directory  *chivedirectory.Service
-	entry      *chiveentry.Entry
-	ready      *readiness
-	gossip     *chivegossip.Service
-	budget     *chiveforward.Budget
-	repeats    *chivebudget.Service
-	loads      *chiveload.Service
-	grants     *chivegrant.Service
-	startup    *startup
-	memory     *memoryGuard
-	quarantine *chivequarantine.Service
-	pools      *chiveforward.Pools
-	forwarder  *chiveforward.Forwarder
-	evacuation *chiveevacuation.Service
+	settings          chivesettings.StoreNode
+	logger            *slog.Logger
+	kernel            *chivekernel.Kernel
+	mesh              *chivewire.Mesh
+	members           *chivemember.Service
+	tables            *chivetable.Service
+	directory         *chivedirectory.Service
+	entry             *chiveentry.Entry
+	ready             *readiness
+	gossip            *chivegossip.Service
+	retryBudget       *chiveforward.Budget
+	sharedRetryBudget *chivebudget.Service
+	loads             *chiveload.Service
+	grants            *chivegrant.Service
+	startup           *startupTracker
+	memory            *memoryGuard
+	quarantine        *chivequarantine.Service
+	pools             *chiveforward.Pools
+	forwarder         *chiveforward.Forwarder
+	evacuation        *chiveevacuation.Service
 	// lease and usage are nil unless the platform expects usage reports.
 	lease *chivelease.Service
 	usage *chiveusage.Service
 }
 
-// operatorTopic hands what is read of the operator's topic to all that keep something of it.
-type operatorTopic struct {
+// operatorListener passes records of the operators' topic to both services that keep a part of them: the routing table
+// and the evacuated failure domains.
+type operatorListener struct {
 	*chivetable.Service
 	evacuation *chiveevacuation.Service
 }
 
-// Replace takes a snapshot.
-func (t operatorTopic) Replace(snapshot chivelog.KeyedBatch) {
+// Replace passes on a snapshot.
+func (t operatorListener) Replace(snapshot chivelog.KeyedBatch) {
 	t.Service.Replace(snapshot)
 	t.evacuation.Replace(snapshot)
 }
 
-// Apply takes later records.
-func (t operatorTopic) Apply(records []chivelog.KeyedRecord) {
+// Apply passes on later records.
+func (t operatorListener) Apply(records []chivelog.KeyedRecord) {
 	t.Service.Apply(records)
 	t.evacuation.Apply(records)
 }
 
-// NewStoreNode puts a node together from its settings, on a network.
+// NewStoreNode returns a node with the given settings that uses the given network.
 func NewStoreNode(settings chivesettings.StoreNode, network chivewire.Network, logger *slog.Logger) (*StoreNode, error) {
 	n := &StoreNode{settings: settings, logger: logger, kernel: chivekernel.New()}
 	if err := n.assemble(network); err != nil {
@@ -104,22 +106,22 @@
 	return n, nil
 }
 
-// assemble makes the services and registers them in the order they start.
+// assemble creates the services and registers them in start order.
 func (n *StoreNode) assemble(network chivewire.Network) error {
 	store := chiveplatform.NewStore(n.settings.Store, n.settings.Listen.Peers, network)
 	metrics := chivemetric.New()
-	roster := n.assembleFleet(network, store)
-	feeds := n.newFeeds(store, roster)
+	discovery := n.assembleFleet(network, store)
+	feeds := n.newFeeds(store, discovery)
 	singletons := n.assembleSingletons(network, store)
 	serving := n.assembleServing(network, metrics)
 	process := newProcess()
-	return n.register(slices.Concat([]named{
+	return n.register(slices.Concat([]namedService{
 		{processName, process},
 		{memoryName, n.memory},
 		{metricsName, metrics},
 		{wireName, n.mesh},
-		{accountName, newAccount(metrics.Scope(), n.mesh, process, n.figures(store, feeds.table, feeds.directory)...)},
-		{rosterName, roster},
+		{gaugeReporterName, newGaugeReporter(metrics.Scope(), n.mesh, process, n.gauges(store, feeds.table, feeds.directory)...)},
+		{discoveryName, discovery},
 		{chivemember.ServiceName, n.members},
 		{chivetable.ServiceName, n.tables},
 		{chivedirectory.ServiceName, n.directory},
@@ -127,15 +129,15 @@
 		{chiveevacuation.ServiceName, n.evacuation},
 		{tableFeedName, feeds.table},
 		{directoryFeedName, feeds.directory},
-		{rosterFeedName, feeds.roster},
+		{discoveryFeedName, feeds.discovery},
 		{chiveforward.PoolsName, serving.pools},
 		{chivequarantine.ServiceName, n.quarantine},
-		{chivebudget.ServiceName, n.repeats},
+		{chivebudget.ServiceName, n.sharedRetryBudget},
 		{chiveforward.ServiceName, serving.forwarder},
 		{chivegrant.ServiceName, n.grants},
 		{chiveload.ServiceName, n.loads},
 		{chivecache.ServiceName, serving.caches},
-		{chiveadmin.ServiceName, &spare{logger: n.logger, Service: chiveadmin.New(chiveadmin.Options{
+		{chiveadmin.ServiceName, &optionalService{logger: n.logger, Service: chiveadmin.New(chiveadmin.Options{
 			Address: n.settings.Listen.Admin, Network: network, Metrics: metrics.Handler(), State: n.kernel.Dump, Ready: n.NotReady,
 			Explain: func(string) (*chivegate.Explanation, bool) { return nil, false }, Profile: n.settings.Profile,
 		})}},
@@ -145,16 +147,17 @@
 	}, singletons))
 }
 
-// assembleFleet makes what the node knows of the fleet, the configuration and the endpoints, and what nodes tell each other of it.
-func (n *StoreNode) assembleFleet(network chivewire.Network, store *chiveplatform.Store) *roster {
+// assembleFleet creates the services that hold the membership list, the configuration and the endpoints, and the gossip
+// between nodes about them.
+func (n *StoreNode) assembleFleet(network chivewire.Network, store *chiveplatform.Store) *peerDiscovery {
 	s := n.settings
 	n.mesh = chivewire.NewMesh(s.Listen.Peers, network)
 	readsForAll := func() bool { return n.gossip.Reads() }
-	roster := newRoster(s.Listen.Peers, s.Region, s.FailureDomain, s.Seeds, store.Nodes(), readsForAll, n.logger)
+	discovery := newPeerDiscovery(s.Listen.Peers, s.Region, s.FailureDomain, s.Seeds, store.Nodes(), readsForAll, n.logger)
 	n.members = chivemember.NewService(chivemember.Member{
 		Name: s.Listen.Peers, Address: s.Listen.Peers, AdminAddress: s.Listen.Admin, Region: s.Region, FailureDomain: s.FailureDomain,
 		Incarnation: time.Now().UnixMilli(),
-	}, n.mesh, roster, n.logger)
+	}, n.mesh, discovery, n.logger)
 	n.tables = chivetable.NewService(n.decodeTable, chiveplatform.IsConfiguration, n.logger)
 	n.evacuation = chiveevacuation.New(chiveevacuation.Options{Mesh: n.mesh, Decode: chiveplatform.DecodeEvacuation, Logger: n.logger})
 	n.directory = chivedirectory.NewService(chiveplatform.DecodeEndpoint, chivedirectory.DefaultGrace, n.logger)
@@ -162,12 +165,12 @@
 	n.tables.OnChange(func(*chivetable.Table) { n.gossip.Learnt() })
 	n.directory.OnChange(func(chivedirectory.Diff) { n.gossip.Learnt() })
 	n.directory.OnStale(n.gossip.WentStale)
-	n.directory.OnRestored(roster.Restored)
-	return roster
+	n.directory.OnRestored(discovery.Restored)
+	return discovery
 }
 
-// assembleSingletons creates the services for work that one node at a time does for the platform.
-func (n *StoreNode) assembleSingletons(network chivewire.Network, store *chiveplatform.Store) []named {
+// assembleSingletons creates the services for platform work that one node at a time does for the whole fleet.
+func (n *StoreNode) assembleSingletons(network chivewire.Network, store *chiveplatform.Store) []namedService {
 	duties := n.settings.PlatformDuties
 	if !duties.Expects(chivesettings.DutyUsage) {
 		return nil
@@ -183,61 +186,62 @@
 		Lease: n.lease, Platform: cloud, Window: duties.UsageWindow(), Delay: duties.UsageDelay(),
 		SinceBoot: chiveforward.SinceBoot, Logger: n.logger,
 	})
-	singletons := []named{{chiveusage.ServiceName, n.usage}, {chivelease.ServiceName, n.lease}}
+	singletons := []namedService{{chiveusage.ServiceName, n.usage}, {chivelease.ServiceName, n.lease}}
 	if !duties.Expects(chivesettings.DutyScaling) {
 		return singletons
 	}
 	scaling := chivescale.New(chivescale.Options{Lease: n.lease, Platform: cloud, Load: n.usage.Load, SinceBoot: chiveforward.SinceBoot, Logger: n.logger})
 	n.tables.OnChange(scaling.SetTable)
 	n.directory.OnChange(scaling.ApplyEndpoints)
-	return append(singletons, named{chivescale.ServiceName, scaling})
+	return append(singletons, namedService{chivescale.ServiceName, scaling})
 }
 
-// feeds follow the store's topics.
+// feeds are the followers of the store's topics.
 type feeds struct {
 	table     *chivefeed.Follower
 	directory *chivefeed.Follower
-	roster    *chivefeed.Follower
+	discovery *chivefeed.Follower
 }
 
-func (n *StoreNode) newFeeds(store *chiveplatform.Store, roster *roster) feeds {
+func (n *StoreNode) newFeeds(store *chiveplatform.Store, discovery *peerDiscovery) feeds {
 	return feeds{
 		table: chivefeed.New(chivefeed.Options{
-			Topic: store.Configurations(), Wait: n.gossip.ReadWait, Listener: operatorTopic{n.tables, n.evacuation}, Answered: n.directory.AnsweredElse, Held: n.gossip.Held,
+			Topic: store.Configurations(), Wait: n.gossip.ReadWait, Listener: operatorListener{n.tables, n.evacuation}, Answered: n.directory.AnsweredElse, Held: n.gossip.Held,
 			Settle: chivegossip.SettleFor,
 		}),
 		directory: chivefeed.New(chivefeed.Options{
 			Topic: store.Endpoints(), Wait: n.gossip.ReadWait, Pace: n.gossip.ReadPace, Listener: n.directory, Answered: n.directory.Answered, Held: n.gossip.Held,
-			Settle: chivegossip.SettleFor, HoldFirst: n.newStartHold(roster).holds,
+			Settle: chivegossip.SettleFor, HoldFirst: n.newFirstReadPolicy(discovery).defers,
 		}),
-		roster: chivefeed.New(chivefeed.Options{
-			Topic: store.Nodes(), Wait: noWait, Pace: func() time.Duration { return rosterPace }, Listener: roster, Answered: n.directory.AnsweredElse,
+		discovery: chivefeed.New(chivefeed.Options{
+			Topic: store.Nodes(), Wait: noWait, Pace: func() time.Duration { return discoveryReadInterval }, Listener: discovery, Answered: n.directory.AnsweredElse,
 			Held: func() bool { return !n.gossip.Reads() }, HeldAtStart: true,
 		}),
 	}
 }
 
-// serving carries requests from callers to endpoints.
+// serving holds the services that forward requests to endpoints.
 type serving struct {
 	pools     *chiveforward.Pools
 	forwarder *chiveforward.Forwarder
 	caches    *chivecache.Service
 }
 
-// assembleServing makes what places requests and carries them, and lets it hear of configurations and endpoints.
+// assembleServing creates the services that place and forward requests, and subscribes them to changes of the
+// configuration and of the endpoints.
 func (n *StoreNode) assembleServing(network chivewire.Network, metrics *chivemetric.Metrics) serving {
 	s := n.settings
-	n.budget = chiveforward.NewBudget(time.Now(), chiveforward.BudgetLimits{
+	n.retryBudget = chiveforward.NewBudget(time.Now(), chiveforward.BudgetLimits{
 		Ratio: s.Repeats.Ratio, Headroom: s.Repeats.Headroom, Window: time.Duration(s.Repeats.WindowS * float64(time.Second)),
 	})
-	n.repeats = chivebudget.New(n.mesh, n.budget)
+	n.sharedRetryBudget = chivebudget.New(n.mesh, n.retryBudget)
 	n.memory = newMemoryGuard(s.MemoryMB*megabyte, n.logger)
 	n.quarantine = chivequarantine.New(chivequarantine.Options{Mesh: n.mesh, Logger: n.logger})
 	pools := chiveforward.NewPools(s.FailureDomain)
 	pools.SetRegions(s.RegionOf())
 	n.pools = pools
 	forwarder := chiveforward.New(chiveforward.Options{
-		Self: s.Listen.Callers, Network: network, Dialect: chiveplatform.Endpoints{}, Places: pools, Repeats: n.repeats, Rules: chiveforward.StoreRules,
+		Self: s.Listen.Callers, Network: network, Dialect: chiveplatform.Endpoints{}, Places: pools, Repeats: n.sharedRetryBudget, Rules: chiveforward.StoreRules,
 		Quarantine: n.quarantine, OnStart: n.recordStart, SinceBoot: chiveforward.SinceBoot, Logger: n.logger,
 	})
 	n.forwarder = forwarder
@@ -253,9 +257,9 @@
 		Caches: chiveplatform.NewCaches(s.Listen.Peers, network), Pools: pools, Owners: n.grants, Logger: n.logger,
 	})
 	n.loads = chiveload.New(chiveload.Options{Mesh: n.mesh, Pools: pools, Owners: n.grants})
-	n.startup = newStartup(n.logger, n.NotReady, n.grants.Settled, func() int { return len(n.members.Members()) })
-	n.tables.OnChange(func(*chivetable.Table) { n.startup.noteTable() })
-	n.directory.OnChange(func(chivedirectory.Diff) { n.startup.noteEndpoints() })
+	n.startup = newStartupTracker(n.logger, n.NotReady, n.grants.Settled, func() int { return len(n.members.Members()) })
+	n.tables.OnChange(func(*chivetable.Table) { n.startup.recordTable() })
+	n.directory.OnChange(func(chivedirectory.Diff) { n.startup.recordEndpoints() })
 	n.evacuation.OnChange(pools.SetEvacuated)
 	n.tables.OnChange(pools.SetTable)
 	n.tables.OnChange(n.grants.SetTable)
@@ -267,7 +271,7 @@
 	return serving{pools, forwarder, caches}
 }
 
-// decodeTable decodes the operator's document and checks its regions where the settings list those of the deployment.
+// decodeTable decodes the operators' document. It also checks the regions if the settings list those of the deployment.
 func (n *StoreNode) decodeTable(document []byte) (*chivetable.Table, error) {
 	table, err := chiveplatform.DecodeTable(document)
 	if err != nil || len(n.settings.Regions) == 0 {
@@ -286,15 +290,15 @@
 	}
 }
 
-func (n *StoreNode) register(services []named) error {
+func (n *StoreNode) register(services []namedService) error {
 	for _, s := range services {
 		if err := n.kernel.Register(s.name, s.service); err != nil {
 			return err
 		}
 	}
 	n.members.OnChange(func(members []chivemember.Member) {
-		n.budget.SetNodes(time.Now(), len(members))
-		n.repeats.SetMembers(members)
+		n.retryBudget.SetNodes(time.Now(), len(members))
+		n.sharedRetryBudget.SetMembers(members)
 		n.pools.SetNodes(len(members))
 		n.evacuation.SetMembers(members)
 		n.grants.SetMembers(members)
@@ -308,14 +312,14 @@
 	return nil
 }
 
-// figures are what /metrics shows of the node's dependencies.
-func (n *StoreNode) figures(store *chiveplatform.Store, tableFeed, directoryFeed *chivefeed.Follower) []figure {
-	return []figure{
+// gauges returns the metrics of the node's dependencies and services that /metrics shows.
+func (n *StoreNode) gauges(store *chiveplatform.Store, tableFeed, directoryFeed *chivefeed.Follower) []gauge {
+	return []gauge{
 		{"store_calls", func() float64 { return float64(store.Calls()) }},
 		{"store_age_seconds", func() float64 { return tableFeed.Age().Seconds() }},
 		{"directory_age_seconds", func() float64 { return directoryFeed.Age().Seconds() }},
-		{"repeats_spent", func() float64 { return float64(n.budget.Spent()) }},
-		{"repeats_denied", func() float64 { return float64(n.budget.Denied()) }},
+		{"repeats_spent", func() float64 { return float64(n.retryBudget.Spent()) }},
+		{"repeats_denied", func() float64 { return float64(n.retryBudget.Denied()) }},
 		{"places_asked", func() float64 { return float64(n.grants.Counts().Asked) }},
 		{"places_granted", func() float64 { return float64(n.grants.Counts().Granted) }},
 		{"places_refused", func() float64 { return float64(n.grants.Counts().Refused) }},
@@ -367,10 +371,10 @@
 
 func noWait(bool) time.Duration { return 0 }
 
-// errNoEndpoints is why a node that knows no endpoint is not ready.
+// errNoEndpoints is the readiness error of a node that knows no endpoint.
 var errNoEndpoints = fmt.Errorf("no endpoint known yet")
 
-// NotReady returns why the node should get no new connections yet, or nil.
+// NotReady returns why the node must not get new connections yet, or nil.
 func (n *StoreNode) NotReady() error {
 	if n.tables.Version() < 0 {
 		return errNoConfig
@@ -381,14 +385,15 @@
 	return nil
 }
 
-// WatchMemory has the node refuse new requests while the bytes returned come near the settings' limit, and bounds the garbage that the process holds; it is
-// called before Start, for a node that has its process to itself.
-func (n *StoreNode) WatchMemory(used func() uint64) { n.memory.watch(used) }
+// WatchMemory makes the node refuse new requests while the number of bytes returned by used is close to the settings'
+// limit, and bounds the garbage in the process's heap. It must be called before Start, and only if the process runs a
+// single node.
+func (n *StoreNode) WatchMemory(used func() uint64) { n.memory.setUsageFunc(used) }
 
-// Handler returns what serves callers, for use without a listener.
+// Handler returns the HTTP handler for callers, for use without a listener.
 func (n *StoreNode) Handler() http.Handler { return n.entry.Handler() }
 
-// Kernel returns the node's services by name.
+// Kernel returns the kernel that holds the node's services.
 func (n *StoreNode) Kernel() *chivekernel.Kernel { return n.kernel }
 
 // Start starts every service.
@@ -402,10 +407,10 @@
 	return nil
 }
 
-// Stop is the planned stop: not ready first, serving on until the balancer has let go, then finishing what is in flight for
-// as long as the grace time allows.
+// Stop shuts the node down without interrupting requests, as far as the grace time allows. It reports the node as not
+// ready, serves on until the load balancer has stopped sending traffic, and then waits for requests in flight.
 func (n *StoreNode) Stop(ctx context.Context) error {
-	began := time.Now()
+	started := time.Now()
 	chiveevent.NodeStopping.Log(ctx, n.logger, slog.Int64("in_flight", n.entry.InFlight()))
 	n.ready.Leave()
 	n.entry.Leave()
@@ -413,17 +418,17 @@
 	if n.lease != nil {
 		n.lease.Release(ctx)
 	}
-	release := min(n.settings.Stop.BalancerRelease(), n.settings.Stop.Grace()/2)
-	time.Sleep(release)
-	limited, cancel := context.WithDeadline(ctx, began.Add(n.settings.Stop.Grace()-stopMargin))
+	releaseWait := min(n.settings.Stop.BalancerRelease(), n.settings.Stop.Grace()/2)
+	time.Sleep(releaseWait)
+	stopCtx, cancel := context.WithDeadline(ctx, started.Add(n.settings.Stop.Grace()-stopMargin))
 	defer cancel()
-	err := n.entry.Stop(limited)
+	err := n.entry.Stop(stopCtx)
 	chiveevent.NodeStopped.Log(ctx, n.logger, slog.String("node", n.settings.Name), slog.Int64("in_flight", n.entry.InFlight()),
-		slog.Int64("took_ms", time.Since(began).Milliseconds()))
+		slog.Int64("took_ms", time.Since(started).Milliseconds()))
 	return err
 }
 
-// MemoryLimit returns the number of bytes at which the collector should work harder.
+// MemoryLimit returns the soft memory limit for the Go runtime, in bytes.
 func MemoryLimit(settings chivesettings.StoreNode) int64 {
-	return int64(float64(settings.MemoryMB*megabyte) * memoryShare)
+	return int64(float64(settings.MemoryMB*megabyte) * memoryLimitShare)
 }
--- a/chivenode/limit_test.go
+++ b/chivenode/team_limit_test.go
@@ -10,14 +10,14 @@
 	"chivedrift/chivegate"
 )
 
-// Guards against a team limit that applies per node instead of over the fleet.
+// Guards against a team limit that is enforced for each node separately instead of over the fleet.
 func TestTeamLimitHoldsOverTheFleet(t *testing.T) {
-	inCluster(t, shape{nodes: 6, engines: 4, sequences: 16}, func(c *cluster) {
+	withCluster(t, clusterSpec{nodes: 6, engines: 4, sequences: 16}, func(c *cluster) {
 		const limit, perRequest = 200, 20
-		bundle := bundleFor(shape{engines: 4, sequences: 16})
+		bundle := bundleFor(clusterSpec{engines: 4, sequences: 16})
 		bundle.Base = replaceOnce(bundle.Base, "weight: 1}", fmt.Sprintf("weight: 1, tokens_per_second: %d}", limit))
-		c.append(chiveconfig.Record{ID: "limit", Kind: chiveconfig.KindPublish, Parent: 1, Author: "test", Bundle: bundle})
-		c.await(2*time.Second, "the limit in force", func() bool { return c.allInForce(2) })
+		c.appendRecord(chiveconfig.Record{ID: "limit", Kind: chiveconfig.KindPublish, Parent: 1, Author: "test", Bundle: bundle})
+		c.waitFor(2*time.Second, "the limit in force", func() bool { return c.allInForce(2) })
 		var mu sync.Mutex
 		var running sync.WaitGroup
 		tokens, refused, withoutRetry := 0, 0, 0
@@ -45,7 +45,8 @@
 		}
 		running.Wait()
 		seconds := time.Since(started).Seconds()
-		// Prompts count too; the bucket holds two seconds and may go into debt by one request a node.
+		// Prompt tokens count too. The bucket holds two seconds of tokens, and each node may overdraw it by one
+		// request.
 		if most := limit*(seconds+2) + 6*perRequest; float64(tokens) > most {
 			t.Errorf("%d tokens in %.0f s at a limit of %d", tokens, seconds, limit)
 		}
