--- a/chiveadmin/admin.go
+++ b/chiveadmin/admin.go
@@ -13,12 +13,12 @@
 	"chivedrift/chivewire"
 )
 
-// ServiceName is the name under which the admin server registers.
+// ServiceName is the service name of the admin server.
 const ServiceName = "admin"
 
 const headerTimeout = 5 * time.Second
 
-// Paths of the operators' contract.
+// Paths that the admin server offers to operators.
 const (
 	PathHealth  = "/healthz"
 	PathReady   = "/readyz"
@@ -28,7 +28,7 @@
 	PathProfile = "/debug/pprof/"
 )
 
-// Options are the parts an admin server is made of.
+// Options configure an admin server.
 type Options struct {
 	Address string
 	Network chivewire.Network
@@ -36,27 +36,27 @@
 	State   func() map[string]any
 	Ready   func() error
 	Explain func(id string) (*chivegate.Explanation, bool)
-	// Profile serves profiles of the process, which cost processor time while they are taken.
+	// Profile enables the profiling endpoints. Taking a profile costs CPU time.
 	Profile bool
 }
 
-// Admin is the operators' server of a node.
+// Admin is the HTTP server for operators of a node.
 type Admin struct {
-	o       Options
+	options Options
 	server  *chivewire.HTTPServer
 	leaving atomic.Bool
 }
 
-// New returns an admin server that does not listen yet.
-func New(o Options) *Admin {
-	a := &Admin{o: o}
+// New returns an admin server that is not listening yet.
+func New(options Options) *Admin {
+	a := &Admin{options: options}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathHealth, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "ok") })
 	mux.HandleFunc("GET "+PathReady, a.serveReady)
-	mux.Handle("GET "+PathMetrics, o.Metrics)
-	mux.HandleFunc("GET "+PathState, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, o.State()) })
+	mux.Handle("GET "+PathMetrics, options.Metrics)
+	mux.HandleFunc("GET "+PathState, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, options.State()) })
 	mux.HandleFunc("GET "+PathExplain+"{id}", a.serveExplain)
-	if o.Profile {
+	if options.Profile {
 		mux.HandleFunc("GET "+PathProfile, pprof.Index)
 		mux.HandleFunc("GET "+PathProfile+"profile", pprof.Profile)
 	}
@@ -64,15 +64,15 @@
 	return a
 }
 
-// Start listens for operators.
+// Start begins to listen for operators.
 func (a *Admin) Start(context.Context) error {
-	if err := a.server.Start(a.o.Network, a.o.Address); err != nil {
+	if err := a.server.Start(a.options.Network, a.options.Address); err != nil {
 		return fmt.Errorf("admin: %w", err)
 	}
 	return nil
 }
 
-// Leave makes the node not ready, so that the balancer lets go of it before it stops.
+// Leave makes the readiness check fail, so that the load balancer stops sending traffic before the node stops.
 func (a *Admin) Leave() { a.leaving.Store(true) }
 
 // Stop closes the server.
@@ -95,7 +95,7 @@
 		http.Error(w, "leaving", http.StatusServiceUnavailable)
 		return
 	}
-	if err := a.o.Ready(); err != nil {
+	if err := a.options.Ready(); err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
@@ -103,18 +103,18 @@
 }
 
 func (a *Admin) serveExplain(w http.ResponseWriter, r *http.Request) {
-	x, ok := a.o.Explain(r.PathValue("id"))
+	explanation, ok := a.options.Explain(r.PathValue("id"))
 	if !ok {
 		http.Error(w, "no such request among the latest of this node", http.StatusNotFound)
 		return
 	}
-	writeJSON(w, x)
+	writeJSON(w, explanation)
 }
 
 func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
-	// When this fails the operator is gone, and nobody is left to tell.
+	// An error here means that the client has disconnected, so there is nobody to report it to.
 	_ = encoder.Encode(value) //nolint:errchkjson // dumps are made of plain values
 }
--- a/chiveadmin/doc.go
+++ b/chiveadmin/doc.go
@@ -1,2 +1,3 @@
-// Package chiveadmin serves operators on an address of its own: health, readiness, metrics, state dumps and explanations.
+// Package chiveadmin serves a node's operators on a separate address: health, readiness, metrics, state dumps,
+// profiles and explanations of recent requests.
 package chiveadmin
