--- a/chivekernel/doc.go
+++ b/chivekernel/doc.go
@@ -1,2 +1,3 @@
-// Package chivekernel is the micro-kernel of a node: services register under a name, find each other by that name, start in order and stop in reverse.
+// Package chivekernel manages the services of a node: they register under a name, look each other up by name, start
+// in order of registration and stop in reverse order. It also runs the background goroutines of services.
 package chivekernel
--- a/chivekernel/duties.go
+++ b/chivekernel/duties.go
@@ -6,34 +6,34 @@
 	"time"
 )
 
-// Duties are the goroutines of one service, one for each duty; the zero value is ready.
+// Duties manages the background goroutines of a service. The zero value is ready for use.
 type Duties struct {
-	cancel context.CancelFunc
-	done   sync.WaitGroup
+	cancel  context.CancelFunc
+	running sync.WaitGroup
 }
 
-// Begin starts a goroutine for each duty; their context ends with End or with the given one.
-func (d *Duties) Begin(ctx context.Context, duties ...func(ctx context.Context)) {
+// Begin starts a goroutine for each task. The context of the tasks ends when End is called or the given context ends.
+func (d *Duties) Begin(ctx context.Context, tasks ...func(ctx context.Context)) {
 	ctx, d.cancel = context.WithCancel(ctx)
-	for _, duty := range duties {
-		d.done.Add(1)
+	for _, task := range tasks {
+		d.running.Add(1)
 		go func() {
-			defer d.done.Done()
-			duty(ctx)
+			defer d.running.Done()
+			task(ctx)
 		}()
 	}
 }
 
-// End ends the duties and returns once their goroutines have; it does nothing before Begin.
+// End cancels the tasks and waits until their goroutines have returned. It does nothing before Begin.
 func (d *Duties) End() {
 	if d.cancel != nil {
 		d.cancel()
 	}
-	d.done.Wait()
+	d.running.Wait()
 }
 
-// Every calls a function at the end of each period, until the context ends.
-func Every(ctx context.Context, period time.Duration, do func(now time.Time)) {
+// Every calls a function at the end of each period until the context ends.
+func Every(ctx context.Context, period time.Duration, f func(now time.Time)) {
 	tick := time.NewTicker(period)
 	defer tick.Stop()
 	for {
@@ -41,7 +41,7 @@
 		case <-ctx.Done():
 			return
 		case now := <-tick.C:
-			do(now)
+			f(now)
 		}
 	}
 }
--- a/chivekernel/kernel.go
+++ b/chivekernel/kernel.go
@@ -7,20 +7,20 @@
 	"sync"
 )
 
-// Service is one duty of a node, with its own goroutines and its own state dump.
+// Service is a component of a node with its own goroutines and its own state dump.
 type Service interface {
-	// Start begins the service's duty; the context ends when the kernel is torn down.
+	// Start starts the service. The context ends when the kernel has stopped all services.
 	Start(ctx context.Context) error
-	// Stop ends the duty and returns once its goroutines have.
+	// Stop stops the service and returns once its goroutines have ended.
 	Stop(ctx context.Context) error
 	// Dump returns a JSON-encodable copy of the service's state.
 	Dump() any
 }
 
-// ErrNotRegistered is returned by Lookup for a name that no service registered under.
+// ErrNotRegistered is returned by Lookup if no service is registered under the name.
 var ErrNotRegistered = errors.New("no service registered under this name")
 
-// Kernel holds the services of one process.
+// Kernel holds the services of a node.
 type Kernel struct {
 	mu       sync.RWMutex
 	names    []string
@@ -34,7 +34,7 @@
 	return &Kernel{services: make(map[string]Service)}
 }
 
-// Register adds a service under a name that must be free; services start in the order of registration.
+// Register adds a service under a name that is not in use. Services start in the order of registration.
 func (k *Kernel) Register(name string, service Service) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -46,33 +46,33 @@
 	return nil
 }
 
-// Lookup finds a service by name and returns it as the type or interface the caller needs.
+// Lookup returns the service with the given name as the requested type or interface.
 func Lookup[T any](k *Kernel, name string) (T, error) {
-	var none T
+	var zero T
 	k.mu.RLock()
 	service, ok := k.services[name]
 	k.mu.RUnlock()
 	if !ok {
-		return none, fmt.Errorf("kernel: %q: %w", name, ErrNotRegistered)
+		return zero, fmt.Errorf("kernel: %q: %w", name, ErrNotRegistered)
 	}
 	typed, ok := service.(T)
 	if !ok {
-		return none, fmt.Errorf("kernel: service %q is a %T, which does not offer what was asked for", name, service)
+		return zero, fmt.Errorf("kernel: service %q has type %T, which does not implement the requested type", name, service)
 	}
 	return typed, nil
 }
 
-// Offering returns the services that offer an interface, in the order of registration.
+// Offering returns the services that implement the given type or interface, in the order of registration.
 func Offering[T any](k *Kernel) []T {
 	k.mu.RLock()
 	defer k.mu.RUnlock()
-	var offering []T
+	var matching []T
 	for _, name := range k.names {
 		if typed, ok := k.services[name].(T); ok {
-			offering = append(offering, typed)
+			matching = append(matching, typed)
 		}
 	}
-	return offering
+	return matching
 }
 
 // Start starts every service in order; when one fails, those already started are stopped again.
@@ -80,8 +80,8 @@
 	ctx, k.cancel = context.WithCancel(ctx)
 	for _, name := range k.names {
 		if err := k.services[name].Start(ctx); err != nil {
-			failure := fmt.Errorf("kernel: start %s: %w", name, err)
-			return errors.Join(failure, k.Stop(ctx))
+			startErr := fmt.Errorf("kernel: start %s: %w", name, err)
+			return errors.Join(startErr, k.Stop(ctx))
 		}
 		k.started++
 	}
@@ -90,18 +90,18 @@
 
 // Stop stops the started services in reverse order and joins their errors.
 func (k *Kernel) Stop(ctx context.Context) error {
-	var failures error
+	var errs error
 	for k.started > 0 {
 		k.started--
 		name := k.names[k.started]
 		if err := k.services[name].Stop(ctx); err != nil {
-			failures = errors.Join(failures, fmt.Errorf("kernel: stop %s: %w", name, err))
+			errs = errors.Join(errs, fmt.Errorf("kernel: stop %s: %w", name, err))
 		}
 	}
 	if k.cancel != nil {
 		k.cancel()
 	}
-	return failures
+	return errs
 }
 
 // Dump returns the state of every service by name.
--- a/chivekernel/kernel_test.go
+++ b/chivekernel/kernel_test.go
@@ -9,38 +9,38 @@
 	"chivedrift/chivekernel"
 )
 
-// probe writes down when it is started and stopped.
-type probe struct {
-	name  string
-	log   *[]string
-	fails bool
+// recordingService records its starts and stops.
+type recordingService struct {
+	name      string
+	calls     *[]string
+	failStart bool
 }
 
-func (p *probe) Start(context.Context) error {
-	*p.log = append(*p.log, "+"+p.name)
-	if p.fails {
-		return errors.New("cannot")
+func (s *recordingService) Start(context.Context) error {
+	*s.calls = append(*s.calls, "+"+s.name)
+	if s.failStart {
+		return errors.New("start failed")
 	}
 	return nil
 }
 
-func (p *probe) Stop(context.Context) error {
-	*p.log = append(*p.log, "-"+p.name)
+func (s *recordingService) Stop(context.Context) error {
+	*s.calls = append(*s.calls, "-"+s.name)
 	return nil
 }
 
-func (p *probe) Dump() any { return p.name }
+func (s *recordingService) Dump() any { return s.name }
 
 func TestServicesStartInOrderAndStopInReverse(t *testing.T) {
-	var log []string
+	var calls []string
 	k := chivekernel.New()
 	for _, name := range []string{"a", "b", "c"} {
-		if err := k.Register(name, &probe{name: name, log: &log}); err != nil {
+		if err := k.Register(name, &recordingService{name: name, calls: &calls}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := k.Register("a", &probe{}); err == nil {
-		t.Error("a name was given twice")
+	if err := k.Register("a", &recordingService{}); err == nil {
+		t.Error("a second service was registered under the same name")
 	}
 	if err := k.Start(t.Context()); err != nil {
 		t.Fatal(err)
@@ -48,30 +48,30 @@
 	if err := k.Stop(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if got := strings.Join(log, " "); got != "+a +b +c -c -b -a" {
+	if got := strings.Join(calls, " "); got != "+a +b +c -c -b -a" {
 		t.Errorf("order %s", got)
 	}
-	if _, err := chivekernel.Lookup[*probe](k, "none"); !errors.Is(err, chivekernel.ErrNotRegistered) {
+	if _, err := chivekernel.Lookup[*recordingService](k, "none"); !errors.Is(err, chivekernel.ErrNotRegistered) {
 		t.Errorf("unknown name: %v", err)
 	}
 	if _, err := chivekernel.Lookup[interface{ Fly() }](k, "a"); err == nil {
-		t.Error("a service was found as what it is not")
+		t.Error("a service was returned as a type that it does not implement")
 	}
 }
 
-// Guards against services left running by a node that failed to start.
-func TestFailedStartStopsWhatRuns(t *testing.T) {
-	var log []string
+// Guards against services that keep running in a node that failed to start.
+func TestFailedStartStopsStartedServices(t *testing.T) {
+	var calls []string
 	k := chivekernel.New()
-	for _, p := range []*probe{{"a", &log, false}, {"b", &log, true}, {"c", &log, false}} {
-		if err := k.Register(p.name, p); err != nil {
+	for _, service := range []*recordingService{{"a", &calls, false}, {"b", &calls, true}, {"c", &calls, false}} {
+		if err := k.Register(service.name, service); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if err := k.Start(t.Context()); err == nil {
-		t.Error("the failure was lost")
+		t.Error("Start returned no error")
 	}
-	if got := strings.Join(log, " "); got != "+a +b -a" {
+	if got := strings.Join(calls, " "); got != "+a +b -a" {
 		t.Errorf("order %s", got)
 	}
 }
