--- a/chivemetric/doc.go
+++ b/chivemetric/doc.go
@@ -1,2 +1,2 @@
-// Package chivemetric holds the node's tally scope and serves it to scrapers.
+// Package chivemetric holds the root scope of a node's metrics and serves them to Prometheus scrapers.
 package chivemetric
