--- a/chiveaccount/account_test.go
+++ b/chiveaccount/account_test.go
@@ -8,8 +8,8 @@
 	"chivedrift/chiveaccount"
 )
 
-// dump is a node that has run for ten seconds and sent so many digests of 30 bytes.
-func dump(t *testing.T, digests int) chiveaccount.Node {
+// newNode returns a node with an uptime of ten seconds that has sent the given number of 30-byte digests.
+func newNode(t *testing.T, digests int) chiveaccount.Node {
 	t.Helper()
 	n, err := chiveaccount.ReadNode(strings.NewReader(fmt.Sprintf(
 		`{"wire":{"sent":{"digest":{"messages":%d,"bytes":%d}}},"process":{"cpu_us":100000,"uptime_ms":10000,"total_bytes":20000000},"table feed":{"calls":%d}}`,
@@ -20,13 +20,13 @@
 	return n
 }
 
-func TestAccountHasTheMiddleAndTheBusiestNode(t *testing.T) {
-	account := chiveaccount.New([]chiveaccount.Node{dump(t, 1000), dump(t, 10), dump(t, 20)})
+func TestReportHasMedianAndMaximum(t *testing.T) {
+	report := chiveaccount.New([]chiveaccount.Node{newNode(t, 1000), newNode(t, 10), newNode(t, 20)})
 	want := map[string][2]float64{"sent digest": {2, 100}, "processor": {1, 1}, "memory": {20, 20}, "store, configurations": {0.2, 10}}
-	for _, r := range account.Rows() {
-		if bounds, ok := want[r.Name()]; ok {
-			if r.Middle() != bounds[0] || r.Busiest() != bounds[1] {
-				t.Errorf("%s: middle %v, busiest %v, expected %v", r.Name(), r.Middle(), r.Busiest(), bounds)
+	for _, r := range report.Rows() {
+		if expected, ok := want[r.Name()]; ok {
+			if r.Middle() != expected[0] || r.Busiest() != expected[1] {
+				t.Errorf("%s: middle %v, busiest %v, expected %v", r.Name(), r.Middle(), r.Busiest(), expected)
 			}
 			delete(want, r.Name())
 		}
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestDumpsThatAreNotUsable(t *testing.T) {
+func TestInvalidDumps(t *testing.T) {
 	for text, want := range map[string]string{
 		`x`:                                  "not a state dump",
 		`{"wire":{}}`:                        `no service "process"`,
--- a/chiveaccount/doc.go
+++ b/chiveaccount/doc.go
@@ -1,3 +1,4 @@
-// Package chiveaccount sums up what the nodes of a fleet spend on control, from their state dumps: for each kind of message and each topic of
-// the platform's store a rate at the middle and the busiest node, and the processor time and memory of the processes.
+// Package chiveaccount summarizes the overhead of the control plane from the state dumps of the nodes of a fleet. For
+// each kind of message and each topic of the platform's store it reports a rate, and for the processes CPU time and
+// memory, each as the median and the maximum over the nodes.
 package chiveaccount
