--- a/chivenode/chaos_test.go
+++ b/chivenode/chaos_test.go
@@ -50,9 +50,9 @@
 	for seed := range *chaosSeeds {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			withCluster(t, clusterSpec{nodes: chaosNodes, engines: 4, sequences: 8}, func(c *cluster) {
-				x := &chaosRun{c: c, random: rand.New(rand.NewPCG(uint64(seed), 7))}
-				x.run()
-				for outcome, n := range x.check(t) {
+				r := &chaosRun{c: c, random: rand.New(rand.NewPCG(uint64(seed), 7))}
+				r.run()
+				for outcome, n := range r.check(t) {
 					sum[outcome] += n
 				}
 			})
@@ -61,26 +61,26 @@
 	t.Logf("over %d seeds: %v", *chaosSeeds, sum)
 }
 
-func (x *chaosRun) run() {
+func (r *chaosRun) run() {
 	ctx, cancel := context.WithTimeout(context.Background(), chaosDuration)
 	defer cancel()
 	var running sync.WaitGroup
 	for caller := range chaosCallers {
 		running.Add(1)
-		random := rand.New(rand.NewPCG(x.random.Uint64(), uint64(caller)))
+		random := rand.New(rand.NewPCG(r.random.Uint64(), uint64(caller)))
 		go func() {
 			defer running.Done()
 			for number := 0; ctx.Err() == nil; number++ {
-				x.sendWithRetries(random, fmt.Sprintf("%d-%d", caller, number))
+				r.sendWithRetries(random, fmt.Sprintf("%d-%d", caller, number))
 				time.Sleep(time.Duration(random.IntN(400)) * time.Millisecond)
 			}
 		}()
 	}
 	for ctx.Err() == nil {
-		heal := x.injectFault()
-		time.Sleep(time.Duration(500+x.random.IntN(4000)) * time.Millisecond)
+		heal := r.injectFault()
+		time.Sleep(time.Duration(500+r.random.IntN(4000)) * time.Millisecond)
 		heal()
-		time.Sleep(time.Duration(x.random.IntN(1500)) * time.Millisecond)
+		time.Sleep(time.Duration(r.random.IntN(1500)) * time.Millisecond)
 	}
 	running.Wait()
 	time.Sleep(10 * time.Second)
@@ -89,66 +89,66 @@
 // sendWithRetries sends either a stream once, or a service request, usually with an idempotency key. A keyed request
 // is sent up to three times until it completes; each time, two more copies are sent through random nodes
 // concurrently.
-func (x *chaosRun) sendWithRetries(random *rand.Rand, name string) {
+func (r *chaosRun) sendWithRetries(random *rand.Rand, name string) {
 	if random.IntN(3) == 0 {
 		prompt := fmt.Sprintf("%s tokens=%d", name, chaosTokens)
-		x.send(call{node: random.IntN(chaosNodes), path: "/v1/chat/completions", class: "dossier", body: chat(prompt, true)}, prompt)
+		r.send(call{node: random.IntN(chaosNodes), path: "/v1/chat/completions", class: "dossier", body: chat(prompt, true)}, prompt)
 		return
 	}
 	request := call{path: "/services/svc/book", class: "confirm", body: "x"}
 	if random.IntN(4) > 0 {
 		request.key = "key-" + name
 	}
-	for try := 0; try < 3 && !x.send(x.viaRandomNode(request, random), ""); try++ {
+	for try := 0; try < 3 && !r.send(r.viaRandomNode(request, random), ""); try++ {
 		if request.key == "" {
 			return
 		}
 		var both sync.WaitGroup
 		for range 2 {
 			both.Add(1)
-			retry := x.viaRandomNode(request, random)
+			retry := r.viaRandomNode(request, random)
 			go func() {
 				defer both.Done()
-				x.send(retry, "")
+				r.send(retry, "")
 			}()
 		}
 		both.Wait()
 	}
 }
 
-func (x *chaosRun) viaRandomNode(request call, random *rand.Rand) call {
+func (r *chaosRun) viaRandomNode(request call, random *rand.Rand) call {
 	request.node = random.IntN(chaosNodes)
 	return request
 }
 
 // send sends a request, records the answer and reports whether the request completed.
-func (x *chaosRun) send(request call, prompt string) bool {
+func (r *chaosRun) send(request call, prompt string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 	defer cancel()
-	response := x.c.do(ctx, request)
+	response := r.c.do(ctx, request)
 	if response.err != nil || response.header == nil {
 		return false
 	}
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.answers = append(x.answers, answer{id: response.header.Get(chivegate.HeaderRequestID), key: request.key, outcome: response.outcome, prompt: prompt, tokens: chaosTokens, text: response.text})
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.answers = append(r.answers, answer{id: response.header.Get(chivegate.HeaderRequestID), key: request.key, outcome: response.outcome, prompt: prompt, tokens: chaosTokens, text: response.text})
 	return response.outcome == "completed"
 }
 
 // injectFault injects a random fault and returns a function that removes it.
-func (x *chaosRun) injectFault() (heal func()) {
-	x.faults++
-	c := x.c
-	node := x.random.IntN(chaosNodes)
-	service := c.services[x.random.IntN(len(c.services))]
-	engine := c.engines[x.random.IntN(len(c.engines))]
-	switch x.random.IntN(13) {
+func (r *chaosRun) injectFault() (heal func()) {
+	r.faults++
+	c := r.c
+	node := r.random.IntN(chaosNodes)
+	service := c.services[r.random.IntN(len(c.services))]
+	engine := c.engines[r.random.IntN(len(c.engines))]
+	switch r.random.IntN(13) {
 	case 0:
 		c.log.SetFaults(chivestand.LogFaults{Down: true})
 	case 1:
 		c.log.SetFaults(chivestand.LogFaults{LoseAnswerEvery: 2})
 	case 2:
-		c.log.SetFaults(chivestand.LogFaults{DelayMs: int64(x.random.IntN(2500))})
+		c.log.SetFaults(chivestand.LogFaults{DelayMs: int64(r.random.IntN(2500))})
 	case 3:
 		c.isolate(logAddress)
 		return func() { c.reconnect(logAddress) }
@@ -161,14 +161,14 @@
 	case 7:
 		service.SetFaults(chivestand.ServiceFaults{Refuse: true})
 	case 8:
-		engine.SetFaults(chivestand.EngineFaults{CrashAfterTokens: 1 + x.random.IntN(20), CrashMidToken: x.random.IntN(2) == 0})
+		engine.SetFaults(chivestand.EngineFaults{CrashAfterTokens: 1 + r.random.IntN(20), CrashMidToken: r.random.IntN(2) == 0})
 	case 9:
-		engine.SetFaults(chivestand.EngineFaults{StallAfterTokens: 1 + x.random.IntN(20)})
+		engine.SetFaults(chivestand.EngineFaults{StallAfterTokens: 1 + r.random.IntN(20)})
 	case 10:
 		c.isolate(callersAddress(node))
 		return func() { c.reconnect(callersAddress(node)) }
 	case 12:
-		return x.isolateDomain(domain(x.random.IntN(3)))
+		return r.isolateDomain(domain(r.random.IntN(3)))
 	case 11:
 		c.network.Silence(func(from, to string) bool {
 			return host(from) == host(callersAddress(node)) || host(to) == host(callersAddress(node))
@@ -183,27 +183,27 @@
 
 // isolateDomain disconnects a failure domain from the network: its engines and its nodes, which include schedulers
 // and claim writers.
-func (x *chaosRun) isolateDomain(name string) (heal func()) {
+func (r *chaosRun) isolateDomain(name string) (heal func()) {
 	var addresses []string
 	for i := range chaosNodes {
 		if domain(i) == name {
 			addresses = append(addresses, peerAddress(i))
 		}
 	}
-	for i := range x.c.engines {
+	for i := range r.c.engines {
 		if domain(i) == name {
 			addresses = append(addresses, engineAddress(i))
 		}
 	}
-	x.c.isolate(addresses...)
-	return func() { x.c.reconnect(addresses...) }
+	r.c.isolate(addresses...)
+	return func() { r.c.reconnect(addresses...) }
 }
 
 // check compares every answer with the executions that the simulated endpoints counted.
-func (x *chaosRun) check(t *testing.T) map[string]int {
+func (r *chaosRun) check(t *testing.T) map[string]int {
 	t.Helper()
 	byID, byKey := make(map[string]int), make(map[string]int)
-	for _, s := range x.c.services {
+	for _, s := range r.c.services {
 		runs := s.Runs()
 		for id, n := range runs.Runs {
 			byID[id] += n
@@ -212,7 +212,7 @@
 			byKey[key] += n
 		}
 	}
-	for _, e := range x.c.engines {
+	for _, e := range r.c.engines {
 		for id, n := range e.Runs().Runs {
 			byID[id] += n
 		}
@@ -222,15 +222,15 @@
 			t.Errorf("key %s was executed %d times", key, n)
 		}
 	}
-	sum := map[string]int{"faults": x.faults, "answers": len(x.answers)}
-	for _, a := range x.answers {
+	sum := map[string]int{"faults": r.faults, "answers": len(r.answers)}
+	for _, a := range r.answers {
 		sum[a.outcome]++
-		x.checkAnswer(t, a, byID[a.id], byKey[a.key], sum)
+		r.checkAnswer(t, a, byID[a.id], byKey[a.key], sum)
 	}
 	return sum
 }
 
-func (x *chaosRun) checkAnswer(t *testing.T, a answer, runs, keyRuns int, sum map[string]int) {
+func (r *chaosRun) checkAnswer(t *testing.T, a answer, runs, keyRuns int, sum map[string]int) {
 	t.Helper()
 	switch a.outcome {
 	case "not-run":
--- a/chivenode/cluster_test.go
+++ b/chivenode/cluster_test.go
@@ -28,7 +28,7 @@
 	logAddress    = "10.0.0.1:80"
 	testKey       = "key"
 	testDigest    = "2c70e12b7a0646f92279f427c7b38e7334d8e5389cff167a1dc30e73f826b683" // SHA-256 of testKey
-	callerAddress = "10.9.9.9:1"
+	clientAddress = "10.9.9.9:1"
 	engineStep    = 10 * time.Millisecond
 	settleTime    = 3 * time.Second
 )
@@ -83,7 +83,7 @@
 	c := &cluster{t: t, spec: s, network: chivestand.NewNetwork(), log: chivestand.NewLog(), isolated: make(map[string]bool)}
 	c.network.Block(c.blocked)
 	c.transport = &http.Transport{DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
-		return c.network.Dial(ctx, callerAddress, address)
+		return c.network.Dial(ctx, clientAddress, address)
 	}}
 	c.client = &http.Client{Transport: c.transport}
 	c.serve(logAddress, c.log.Handler())
--- a/chivenode/fleet_test.go
+++ b/chivenode/fleet_test.go
@@ -287,7 +287,7 @@
 		smallSide := map[string]bool{host(peerAddress(0)): true, host(peerAddress(3)): true}
 		c.partition(func(from, to string) bool {
 			inside := smallSide[host(from)]
-			return inside != smallSide[host(to)] && host(to) != host(callerAddress) && host(from) != host(callerAddress) &&
+			return inside != smallSide[host(to)] && host(to) != host(clientAddress) && host(from) != host(clientAddress) &&
 				!strings.HasPrefix(from, "10.2.") && !strings.HasPrefix(to, "10.2.")
 		})
 		// Each of six members probes four others: the small side detects four losses in one round, and the remaining
@@ -318,7 +318,7 @@
 			otherRegion[host(engineAddress(i))] = true
 		}
 		c.partition(func(from, to string) bool {
-			return otherRegion[host(from)] != otherRegion[host(to)] && host(from) != host(callerAddress) && host(to) != host(callerAddress)
+			return otherRegion[host(from)] != otherRegion[host(to)] && host(from) != host(clientAddress) && host(to) != host(clientAddress)
 		})
 		c.appendRecord(c.newRecord("during", 1, "during"))
 		c.waitFor(10*time.Second, "each side lists only its own nodes", func() bool { return c.memberCount(0) == 3 && c.memberCount(1) == 3 })
--- a/chivenode/malformed_request_test.go
+++ b/chivenode/malformed_request_test.go
@@ -13,7 +13,7 @@
 // that took.
 func (c *cluster) sendRaw(text string) (answer string, took time.Duration) {
 	c.t.Helper()
-	conn, err := c.network.Dial(context.Background(), callerAddress, callersAddress(0))
+	conn, err := c.network.Dial(context.Background(), clientAddress, callersAddress(0))
 	if err != nil {
 		c.t.Fatal(err)
 	}
--- a/chivenode/node_test.go
+++ b/chivenode/node_test.go
@@ -61,8 +61,8 @@
 			if service.status != http.StatusOK || service.outcome != "completed" {
 				t.Errorf("node %d service %+v", node, service)
 			}
-			if x, ok := c.gate(node).Explain(service.header.Get(chivegate.HeaderRequestID)); !ok || len(x.Attempts) != 1 {
-				t.Errorf("node %d explains %+v", node, x)
+			if explanation, ok := c.gate(node).Explain(service.header.Get(chivegate.HeaderRequestID)); !ok || len(explanation.Attempts) != 1 {
+				t.Errorf("node %d explains %+v", node, explanation)
 			}
 		}
 	})
--- a/chivenode/outcome_test.go
+++ b/chivenode/outcome_test.go
@@ -233,8 +233,8 @@
 			if r.outcome != "completed" {
 				t.Errorf("%s ended as %q", name, r.outcome)
 			}
-			x, _ := c.gate(0).Explain(r.header.Get(chivegate.HeaderRequestID))
-			for _, a := range x.Attempts {
+			explanation, _ := c.gate(0).Explain(r.header.Get(chivegate.HeaderRequestID))
+			for _, a := range explanation.Attempts {
 				saved += a.Resumed
 			}
 			needed += tokens
--- a/chivenode/preempt_test.go
+++ b/chivenode/preempt_test.go
@@ -28,8 +28,8 @@
 				t.Errorf("a preempted answer ended as %q", r.outcome)
 			}
 			for node := range c.nodes {
-				if x, ok := c.gate(node).Explain(r.header.Get(chivegate.HeaderRequestID)); ok {
-					attempts += len(x.Attempts)
+				if explanation, ok := c.gate(node).Explain(r.header.Get(chivegate.HeaderRequestID)); ok {
+					attempts += len(explanation.Attempts)
 				}
 			}
 		}
@@ -51,12 +51,12 @@
 		nudge := c.stream(2, "nudge", "n tokens=10")
 		for range 2 {
 			r := <-results
-			x, ok := c.gate(0).Explain(r.header.Get(chivegate.HeaderRequestID))
+			explanation, ok := c.gate(0).Explain(r.header.Get(chivegate.HeaderRequestID))
 			if !ok {
-				x, ok = c.gate(1).Explain(r.header.Get(chivegate.HeaderRequestID))
+				explanation, ok = c.gate(1).Explain(r.header.Get(chivegate.HeaderRequestID))
 			}
-			if r.outcome != "completed" || !ok || len(x.Attempts) != 1 {
-				t.Errorf("a dossier ended as %q with %+v", r.outcome, x)
+			if r.outcome != "completed" || !ok || len(explanation.Attempts) != 1 {
+				t.Errorf("a dossier ended as %q with %+v", r.outcome, explanation)
 			}
 		}
 		if nudge.outcome != "completed" && (nudge.outcome != "not-run" || nudge.header.Get(chivegate.HeaderRetryAfter) == "") {
