--- a/chivenode/chaos_test.go
+++ b/chivenode/chaos_test.go
@@ -14,19 +14,20 @@
 	"chivedrift/chivestand"
 )
 
-var chaosSeeds = flag.Int("chaos-seeds", 12, "how many seeds the mixed-fault test runs")
+var chaosSeeds = flag.Int("chaos-seeds", 12, "number of seeds for the mixed-fault test")
 
-// A chaos run is callers, a schedule of faults drawn from a seed, and a ledger of what every caller was told.
-type chaos struct {
-	c      *cluster
-	random *rand.Rand
-	mu     sync.Mutex
-	told   []told
-	faults int
+// chaosRun runs callers against a cluster under a schedule of faults drawn from a seed, and records every answer that
+// a caller got.
+type chaosRun struct {
+	c       *cluster
+	random  *rand.Rand
+	mu      sync.Mutex
+	answers []answer
+	faults  int
 }
 
-// told is one answer with the identity of its request and the key it was for.
-type told struct {
+// answer is one answer that a caller got, with the ID of its request and the idempotency key of the call.
+type answer struct {
 	id      string
 	key     string
 	outcome string
@@ -36,23 +37,23 @@
 }
 
 const (
-	chaosNodes   = 6
-	chaosCallers = 8
-	chaosTime    = 60 * time.Second
-	chaosTokens  = 30
-	callerWaits  = 12 * time.Second
+	chaosNodes    = 6
+	chaosCallers  = 8
+	chaosDuration = 60 * time.Second
+	chaosTokens   = 30
+	callerTimeout = 12 * time.Second
 )
 
-// Guards against any gap between what is done and what callers are told, under randomly mixed faults.
-func TestNoFalseWordUnderMixedFaults(t *testing.T) {
+// Guards against outcomes reported to callers that differ from what was executed, under randomly mixed faults.
+func TestOutcomesAreTrueUnderMixedFaults(t *testing.T) {
 	sum := make(map[string]int)
 	for seed := range *chaosSeeds {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			inCluster(t, shape{nodes: chaosNodes, engines: 4, sequences: 8}, func(c *cluster) {
-				x := &chaos{c: c, random: rand.New(rand.NewPCG(uint64(seed), 7))}
-				x.run()
-				for word, n := range x.check(t) {
-					sum[word] += n
+			withCluster(t, clusterSpec{nodes: chaosNodes, engines: 4, sequences: 8}, func(c *cluster) {
+				r := &chaosRun{c: c, random: rand.New(rand.NewPCG(uint64(seed), 7))}
+				r.run()
+				for outcome, n := range r.check(t) {
+					sum[outcome] += n
 				}
 			})
 		})
@@ -60,95 +61,97 @@
 	t.Logf("over %d seeds: %v", *chaosSeeds, sum)
 }
 
-func (x *chaos) run() {
-	ctx, cancel := context.WithTimeout(context.Background(), chaosTime)
+func (r *chaosRun) run() {
+	ctx, cancel := context.WithTimeout(context.Background(), chaosDuration)
 	defer cancel()
 	var running sync.WaitGroup
 	for caller := range chaosCallers {
 		running.Add(1)
-		random := rand.New(rand.NewPCG(x.random.Uint64(), uint64(caller)))
+		random := rand.New(rand.NewPCG(r.random.Uint64(), uint64(caller)))
 		go func() {
 			defer running.Done()
 			for number := 0; ctx.Err() == nil; number++ {
-				x.callOnce(random, fmt.Sprintf("%d-%d", caller, number))
+				r.sendWithRetries(random, fmt.Sprintf("%d-%d", caller, number))
 				time.Sleep(time.Duration(random.IntN(400)) * time.Millisecond)
 			}
 		}()
 	}
 	for ctx.Err() == nil {
-		heal := x.fault()
-		time.Sleep(time.Duration(500+x.random.IntN(4000)) * time.Millisecond)
+		heal := r.injectFault()
+		time.Sleep(time.Duration(500+r.random.IntN(4000)) * time.Millisecond)
 		heal()
-		time.Sleep(time.Duration(x.random.IntN(1500)) * time.Millisecond)
+		time.Sleep(time.Duration(r.random.IntN(1500)) * time.Millisecond)
 	}
 	running.Wait()
 	time.Sleep(10 * time.Second)
 }
 
-// callOnce sends a keyed request, up to three times and the retries through two nodes at once, or a stream.
-func (x *chaos) callOnce(random *rand.Rand, name string) {
+// sendWithRetries sends either a stream once, or a service request, usually with an idempotency key. A keyed request
+// is sent up to three times until it completes; each time, two more copies are sent through random nodes
+// concurrently.
+func (r *chaosRun) sendWithRetries(random *rand.Rand, name string) {
 	if random.IntN(3) == 0 {
 		prompt := fmt.Sprintf("%s tokens=%d", name, chaosTokens)
-		x.ask(call{node: random.IntN(chaosNodes), path: "/v1/chat/completions", class: "dossier", body: chat(prompt, true)}, prompt)
+		r.send(call{node: random.IntN(chaosNodes), path: "/v1/chat/completions", class: "dossier", body: chat(prompt, true)}, prompt)
 		return
 	}
-	k := call{path: "/services/svc/book", class: "confirm", body: "x"}
+	request := call{path: "/services/svc/book", class: "confirm", body: "x"}
 	if random.IntN(4) > 0 {
-		k.key = "key-" + name
+		request.key = "key-" + name
 	}
-	for try := 0; try < 3 && !x.ask(x.through(k, random), ""); try++ {
-		if k.key == "" {
+	for try := 0; try < 3 && !r.send(r.viaRandomNode(request, random), ""); try++ {
+		if request.key == "" {
 			return
 		}
 		var both sync.WaitGroup
 		for range 2 {
 			both.Add(1)
-			retry := x.through(k, random)
+			retry := r.viaRandomNode(request, random)
 			go func() {
 				defer both.Done()
-				x.ask(retry, "")
+				r.send(retry, "")
 			}()
 		}
 		both.Wait()
 	}
 }
 
-func (x *chaos) through(k call, random *rand.Rand) call {
-	k.node = random.IntN(chaosNodes)
-	return k
+func (r *chaosRun) viaRandomNode(request call, random *rand.Rand) call {
+	request.node = random.IntN(chaosNodes)
+	return request
 }
 
-// ask sends a request, notes what the caller was told and reports whether it is content.
-func (x *chaos) ask(k call, prompt string) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), callerWaits)
+// send sends a request, records the answer and reports whether the request completed.
+func (r *chaosRun) send(request call, prompt string) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 	defer cancel()
-	r := x.c.do(ctx, k)
-	if r.err != nil || r.header == nil {
+	response := r.c.do(ctx, request)
+	if response.err != nil || response.header == nil {
 		return false
 	}
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.told = append(x.told, told{id: r.header.Get(chivegate.HeaderRequestID), key: k.key, outcome: r.outcome, prompt: prompt, tokens: chaosTokens, text: r.text})
-	return r.outcome == "completed"
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.answers = append(r.answers, answer{id: response.header.Get(chivegate.HeaderRequestID), key: request.key, outcome: response.outcome, prompt: prompt, tokens: chaosTokens, text: response.text})
+	return response.outcome == "completed"
 }
 
-// fault puts one fault into force and returns what lifts it.
-func (x *chaos) fault() (heal func()) {
-	x.faults++
-	c := x.c
-	node := x.random.IntN(chaosNodes)
-	service := c.services[x.random.IntN(len(c.services))]
-	engine := c.engines[x.random.IntN(len(c.engines))]
-	switch x.random.IntN(13) {
+// injectFault injects a random fault and returns a function that removes it.
+func (r *chaosRun) injectFault() (heal func()) {
+	r.faults++
+	c := r.c
+	node := r.random.IntN(chaosNodes)
+	service := c.services[r.random.IntN(len(c.services))]
+	engine := c.engines[r.random.IntN(len(c.engines))]
+	switch r.random.IntN(13) {
 	case 0:
 		c.log.SetFaults(chivestand.LogFaults{Down: true})
 	case 1:
 		c.log.SetFaults(chivestand.LogFaults{LoseAnswerEvery: 2})
 	case 2:
-		c.log.SetFaults(chivestand.LogFaults{DelayMs: int64(x.random.IntN(2500))})
+		c.log.SetFaults(chivestand.LogFaults{DelayMs: int64(r.random.IntN(2500))})
 	case 3:
-		c.lose(logAddress)
-		return func() { c.find(logAddress) }
+		c.isolate(logAddress)
+		return func() { c.reconnect(logAddress) }
 	case 4:
 		service.SetFaults(chivestand.ServiceFaults{CrashAfter: true})
 	case 5:
@@ -158,14 +161,14 @@
 	case 7:
 		service.SetFaults(chivestand.ServiceFaults{Refuse: true})
 	case 8:
-		engine.SetFaults(chivestand.EngineFaults{CrashAfterTokens: 1 + x.random.IntN(20), CrashMidToken: x.random.IntN(2) == 0})
+		engine.SetFaults(chivestand.EngineFaults{CrashAfterTokens: 1 + r.random.IntN(20), CrashMidToken: r.random.IntN(2) == 0})
 	case 9:
-		engine.SetFaults(chivestand.EngineFaults{StallAfterTokens: 1 + x.random.IntN(20)})
+		engine.SetFaults(chivestand.EngineFaults{StallAfterTokens: 1 + r.random.IntN(20)})
 	case 10:
-		c.lose(callersAddress(node))
-		return func() { c.find(callersAddress(node)) }
+		c.isolate(callersAddress(node))
+		return func() { c.reconnect(callersAddress(node)) }
 	case 12:
-		return x.loseDomain(domain(x.random.IntN(3)))
+		return r.isolateDomain(domain(r.random.IntN(3)))
 	case 11:
 		c.network.Silence(func(from, to string) bool {
 			return host(from) == host(callersAddress(node)) || host(to) == host(callersAddress(node))
@@ -178,28 +181,29 @@
 	}
 }
 
-// loseDomain takes a failure domain off the network: its nodes, schedulers and claim writers among them, and its engines.
-func (x *chaos) loseDomain(name string) (heal func()) {
-	var lost []string
+// isolateDomain disconnects a failure domain from the network: its engines and its nodes, which include schedulers
+// and claim writers.
+func (r *chaosRun) isolateDomain(name string) (heal func()) {
+	var addresses []string
 	for i := range chaosNodes {
 		if domain(i) == name {
-			lost = append(lost, peerAddress(i))
+			addresses = append(addresses, peerAddress(i))
 		}
 	}
-	for i := range x.c.engines {
+	for i := range r.c.engines {
 		if domain(i) == name {
-			lost = append(lost, engineAddress(i))
+			addresses = append(addresses, engineAddress(i))
 		}
 	}
-	x.c.lose(lost...)
-	return func() { x.c.find(lost...) }
+	r.c.isolate(addresses...)
+	return func() { r.c.reconnect(addresses...) }
 }
 
-// check compares every word with what the stand-ins counted.
-func (x *chaos) check(t *testing.T) map[string]int {
+// check compares every answer with the executions that the simulated endpoints counted.
+func (r *chaosRun) check(t *testing.T) map[string]int {
 	t.Helper()
 	byID, byKey := make(map[string]int), make(map[string]int)
-	for _, s := range x.c.services {
+	for _, s := range r.c.services {
 		runs := s.Runs()
 		for id, n := range runs.Runs {
 			byID[id] += n
@@ -208,51 +212,51 @@
 			byKey[key] += n
 		}
 	}
-	for _, e := range x.c.engines {
+	for _, e := range r.c.engines {
 		for id, n := range e.Runs().Runs {
 			byID[id] += n
 		}
 	}
 	for key, n := range byKey {
 		if n > 1 {
-			t.Errorf("key %s ran %d times", key, n)
+			t.Errorf("key %s was executed %d times", key, n)
 		}
 	}
-	sum := map[string]int{"faults": x.faults, "answers": len(x.told)}
-	for _, a := range x.told {
+	sum := map[string]int{"faults": r.faults, "answers": len(r.answers)}
+	for _, a := range r.answers {
 		sum[a.outcome]++
-		x.checkWord(t, a, byID[a.id], byKey[a.key], sum)
+		r.checkAnswer(t, a, byID[a.id], byKey[a.key], sum)
 	}
 	return sum
 }
 
-func (x *chaos) checkWord(t *testing.T, a told, ran, keyRan int, sum map[string]int) {
+func (r *chaosRun) checkAnswer(t *testing.T, a answer, runs, keyRuns int, sum map[string]int) {
 	t.Helper()
 	switch a.outcome {
 	case "not-run":
-		if ran > 0 {
-			t.Errorf("%s was said not to have run and ran %d times", a.id, ran)
+		if runs > 0 {
+			t.Errorf("%s was reported as not run but was executed %d times", a.id, runs)
 		}
 	case "completed":
-		a.checkCompleted(t, ran+keyRan)
+		a.checkCompleted(t, runs+keyRuns)
 	case "unknown":
-		if a.prompt == "" && ran == 0 && (a.key == "" || keyRan == 0) {
-			sum["unknown that had not run"]++
+		if a.prompt == "" && runs == 0 && (a.key == "" || keyRuns == 0) {
+			sum["unknown, not executed"]++
 		}
 	case "failed":
 	default:
-		if a.prompt == "" || !strings.HasPrefix(expected(a.prompt, a.tokens), a.text) {
-			t.Errorf("%s ended as %q with %q", a.id, a.outcome, a.text)
+		if a.prompt == "" || !strings.HasPrefix(expectedText(a.prompt, a.tokens), a.text) {
+			t.Errorf("%s ended with outcome %q and unexpected text %q", a.id, a.outcome, a.text)
 		}
 	}
 }
 
-func (a told) checkCompleted(t *testing.T, ran int) {
+func (a answer) checkCompleted(t *testing.T, runs int) {
 	t.Helper()
-	if a.prompt != "" && a.text != expected(a.prompt, a.tokens) {
+	if a.prompt != "" && a.text != expectedText(a.prompt, a.tokens) {
 		t.Errorf("%s completed with the wrong text %q", a.id, a.text)
 	}
-	if a.prompt == "" && ran == 0 {
-		t.Errorf("%s was said to be completed and never ran", a.id)
+	if a.prompt == "" && runs == 0 {
+		t.Errorf("%s was reported as completed but was never executed", a.id)
 	}
 }
