--- a/chiveevent/catalogue_test.go
+++ b/chiveevent/catalogue_test.go
@@ -10,7 +10,7 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// TestCataloguePage holds docs/EVENTS.md to the code; -update writes the page.
+// TestCataloguePage compares docs/EVENTS.md with the catalogue; -update writes the page.
 func TestCataloguePage(t *testing.T) {
 	page := strings.Builder{}
 	page.WriteString("# Log events\n\nEvery log line of a node carries one of these numbers in the field `event`. Made from the code; a test holds the two together.\n\n")
@@ -18,7 +18,7 @@
 	seen := make(map[int]bool)
 	for _, e := range chiveevent.Catalogue() {
 		if seen[e.Number()] {
-			t.Errorf("event %d stands twice", e.Number())
+			t.Errorf("event %d is defined twice", e.Number())
 		}
 		seen[e.Number()] = true
 		fmt.Fprintf(&page, "| %d | %s | %s | %s |\n", e.Number(), e.Level(), e.Text(), e.Advice())
--- a/chiveevent/doc.go
+++ b/chiveevent/doc.go
@@ -1,2 +1,2 @@
-// Package chiveevent is the catalogue of numbered log events and the way to log them.
+// Package chiveevent defines the numbered log events of a node and writes them without blocking its requests.
 package chiveevent
--- a/chiveevent/event.go
+++ b/chiveevent/event.go
@@ -7,7 +7,7 @@
 	"sort"
 )
 
-// Event is one kind of log line, known to operators by its number.
+// Event is one kind of log line, identified by its number.
 type Event struct {
 	number int
 	level  slog.Level
@@ -23,41 +23,42 @@
 	return e
 }
 
-// Number returns the event's number, which never changes its meaning.
+// Number returns the number of the event. A number never changes its meaning.
 func (e Event) Number() int { return e.number }
 
-// Level returns the level the event is logged at.
+// Level returns the level at which the event is logged.
 func (e Event) Level() slog.Level { return e.level }
 
-// Text returns what happened, the same in every line of the event.
+// Text returns the message, which is the same in every line of the event.
 func (e Event) Text() string { return e.text }
 
-// Advice returns what an operator should do about it.
+// Advice returns what operators should do when the event occurs.
 func (e Event) Advice() string { return e.advice }
 
-// Log writes the event with its attributes.
+// Log logs the event with the given attributes.
 func (e Event) Log(ctx context.Context, logger *slog.Logger, attributes ...slog.Attr) {
 	all := make([]slog.Attr, 0, len(attributes)+1)
 	all = append(all, slog.Int("event", e.number))
 	logger.LogAttrs(ctx, e.level, e.text, append(all, attributes...)...)
 }
 
-// idShown bounds what a caller's own text takes in a log line, in bytes.
-const idShown = 64
+// maxRequestIDBytes bounds the length of a request ID in a log line.
+const maxRequestIDBytes = 64
 
-// Request returns the attribute for a request's identity; it comes from the caller, so its length is bounded here, and the
-// handler escapes it.
+// Request returns the attribute for a request ID. Callers choose the ID, so its length is bounded here; the log handler
+// escapes it.
 func Request(id string) slog.Attr {
-	if len(id) > idShown {
-		id = id[:idShown] + "..."
+	if len(id) > maxRequestIDBytes {
+		id = id[:maxRequestIDBytes] + "..."
 	}
 	return slog.String("request", id)
 }
 
-// Content returns the attribute by which the lines of several tries of the same request are found, at all nodes.
+// Content returns the attribute that identifies the content of a request; it is the same for all tries of the request,
+// on all nodes.
 func Content(content fmt.Stringer) slog.Attr { return slog.String("content", content.String()) }
 
-// Catalogue returns every event in order of number.
+// Catalogue returns all events, sorted by number.
 func Catalogue() []Event {
 	sorted := append([]Event(nil), catalogue...)
 	sort.Slice(sorted, func(i, j int) bool { return sorted[i].number < sorted[j].number })
--- a/chiveevent/output.go
+++ b/chiveevent/output.go
@@ -13,62 +13,62 @@
 )
 
 const (
-	// linesKept bounds the lines that wait for the output: at a few hundred bytes a line well under a megabyte.
-	linesKept = 1024
-	// dropsEvery is how often lost lines are reported.
-	dropsEvery = time.Second
+	// queueLines is the capacity of each queue of lines: at a few hundred bytes per line, well under a megabyte.
+	queueLines = 1024
+	// dropReportInterval is how often dropped lines are reported.
+	dropReportInterval = time.Second
 )
 
-// Output writes log lines from a goroutine of its own, so that a standard output that nobody reads never holds up a request.
+// Output writes log lines from a separate goroutine, so that a standard output that nobody reads blocks no request.
 //
-// When the reader of the output stalls, the lines that wait are bounded and further ones are dropped and counted; warnings
-// and errors have a ring of their own, so that the lines that explain a failure are the last to go.
+// When the reader of the output stalls, a bounded number of lines is queued; further lines are dropped and counted.
+// Warnings and errors have their own queue, so that the lines that explain a failure are the last to be dropped.
 type Output struct {
 	out     io.Writer
 	urgent  *chivering.Ring[[]byte]
-	plain   *chivering.Ring[[]byte]
+	normal  *chivering.Ring[[]byte]
 	dropped atomic.Int64
 	done    sync.WaitGroup
 	cancel  context.CancelFunc
 }
 
-// NewOutput returns an output that begins to write at once.
+// NewOutput returns an output and starts its goroutine.
 func NewOutput(out io.Writer) *Output {
 	ctx, cancel := context.WithCancel(context.Background())
-	o := &Output{out: out, urgent: chivering.New[[]byte](linesKept), plain: chivering.New[[]byte](linesKept), cancel: cancel}
+	o := &Output{out: out, urgent: chivering.New[[]byte](queueLines), normal: chivering.New[[]byte](queueLines), cancel: cancel}
 	o.done.Add(1)
 	go o.run(ctx)
 	return o
 }
 
-// Logger returns a logger of JSON lines onto this output.
+// Logger returns a logger that writes JSON lines to this output.
 func (o *Output) Logger() *slog.Logger {
 	return slog.New(&levelHandler{
-		urgent: slog.NewJSONHandler(ringWriter{o, o.urgent}, nil), plain: slog.NewJSONHandler(ringWriter{o, o.plain}, nil),
+		urgent: slog.NewJSONHandler(queueWriter{o, o.urgent}, nil), normal: slog.NewJSONHandler(queueWriter{o, o.normal}, nil),
 	})
 }
 
-// Dropped returns how many lines were lost.
+// Dropped returns the number of lines that were dropped.
 func (o *Output) Dropped() int64 { return o.dropped.Load() }
 
-// Close writes what waits, for at most a given time, and ends the goroutine when the output takes it.
-func (o *Output) Close(most time.Duration) {
+// Close writes the queued lines and stops the goroutine. It returns after the timeout even if the writer still blocks.
+func (o *Output) Close(timeout time.Duration) {
 	o.cancel()
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
 		o.done.Wait()
-		close(ended)
+		close(stopped)
 	}()
 	select {
-	case <-ended:
-	case <-time.After(most):
+	case <-stopped:
+	case <-time.After(timeout):
 	}
 }
 
 func (o *Output) run(ctx context.Context) {
 	defer o.done.Done()
-	tick := time.NewTicker(dropsEvery)
-	defer tick.Stop()
+	ticker := time.NewTicker(dropReportInterval)
+	defer ticker.Stop()
 	reported := int64(0)
 	for {
 		select {
@@ -80,10 +80,10 @@
 		select {
 		case line := <-o.urgent.Ready():
 			o.write(line)
-		case line := <-o.plain.Ready():
+		case line := <-o.normal.Ready():
 			o.write(line)
-		case <-tick.C:
-			reported = o.report(reported)
+		case <-ticker.C:
+			reported = o.reportDropped(reported)
 		case <-ctx.Done():
 			o.flush()
 			return
@@ -96,7 +96,7 @@
 		select {
 		case line := <-o.urgent.Ready():
 			o.write(line)
-		case line := <-o.plain.Ready():
+		case line := <-o.normal.Ready():
 			o.write(line)
 		default:
 			return
@@ -104,58 +104,58 @@
 	}
 }
 
-func (o *Output) report(before int64) int64 {
-	lost := o.dropped.Load()
-	if lost == before {
-		return before
+func (o *Output) reportDropped(reported int64) int64 {
+	dropped := o.dropped.Load()
+	if dropped == reported {
+		return reported
 	}
 	var line bytes.Buffer
-	LinesDropped.Log(context.Background(), slog.New(slog.NewJSONHandler(&line, nil)), slog.Int64("lines", lost-before), slog.Int64("in_all", lost))
+	LinesDropped.Log(context.Background(), slog.New(slog.NewJSONHandler(&line, nil)), slog.Int64("lines", dropped-reported), slog.Int64("in_all", dropped))
 	o.write(line.Bytes())
-	return lost
+	return dropped
 }
 
-// write passes a line on; an output that fails has nobody left to tell.
+// write writes a line; a write error is ignored, since there is no other place to report it.
 func (o *Output) write(line []byte) { _, _ = o.out.Write(line) }
 
-type ringWriter struct {
+type queueWriter struct {
 	output *Output
-	ring   *chivering.Ring[[]byte]
+	queue  *chivering.Ring[[]byte]
 }
 
-// Write offers a copy of the line, since the handler uses its buffer again.
-func (w ringWriter) Write(line []byte) (int, error) {
-	if !w.ring.Offer(append([]byte(nil), line...)) {
+// Write queues a copy of the line, since the handler reuses its buffer.
+func (w queueWriter) Write(line []byte) (int, error) {
+	if !w.queue.Offer(append([]byte(nil), line...)) {
 		w.output.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// levelHandler sends warnings and errors one way and all else the other.
+// levelHandler sends warnings and errors to one handler and all other records to another.
 type levelHandler struct {
 	urgent slog.Handler
-	plain  slog.Handler
+	normal slog.Handler
 }
 
 // Enabled reports whether a level is logged.
 func (h *levelHandler) Enabled(ctx context.Context, level slog.Level) bool {
-	return h.plain.Enabled(ctx, level)
+	return h.normal.Enabled(ctx, level)
 }
 
-// Handle passes a record on by its level.
+// Handle passes a record to the handler for its level.
 func (h *levelHandler) Handle(ctx context.Context, record slog.Record) error {
 	if record.Level >= slog.LevelWarn {
 		return h.urgent.Handle(ctx, record) //nolint:wrapcheck // the ring never fails
 	}
-	return h.plain.Handle(ctx, record) //nolint:wrapcheck // the ring never fails
+	return h.normal.Handle(ctx, record) //nolint:wrapcheck // the ring never fails
 }
 
-// WithAttrs returns a handler whose lines carry attributes.
+// WithAttrs returns a handler that adds attributes to each line.
 func (h *levelHandler) WithAttrs(attributes []slog.Attr) slog.Handler {
-	return &levelHandler{h.urgent.WithAttrs(attributes), h.plain.WithAttrs(attributes)}
+	return &levelHandler{h.urgent.WithAttrs(attributes), h.normal.WithAttrs(attributes)}
 }
 
-// WithGroup returns a handler whose lines put attributes in a group.
+// WithGroup returns a handler that puts the attributes of each line in a group.
 func (h *levelHandler) WithGroup(name string) slog.Handler {
-	return &levelHandler{h.urgent.WithGroup(name), h.plain.WithGroup(name)}
+	return &levelHandler{h.urgent.WithGroup(name), h.normal.WithGroup(name)}
 }
--- a/chiveevent/output_test.go
+++ b/chiveevent/output_test.go
@@ -11,51 +11,52 @@
 	"chivedrift/chiveevent"
 )
 
-// stalled is an output that takes nothing until it is let go.
-type stalled struct {
-	mu   sync.Mutex
-	goOn chan struct{}
-	got  bytes.Buffer
+// blockedWriter blocks every write until release is closed.
+type blockedWriter struct {
+	mu      sync.Mutex
+	release chan struct{}
+	written bytes.Buffer
 }
 
-func (s *stalled) Write(line []byte) (int, error) {
-	<-s.goOn
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.got.Write(line)
+func (w *blockedWriter) Write(line []byte) (int, error) {
+	<-w.release
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.written.Write(line)
 }
 
-func (s *stalled) text() string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.got.String()
+func (w *blockedWriter) text() string {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.written.String()
 }
 
-// Guards against requests that block because nobody reads the standard output.
-func TestStalledOutputHoldsUpNobody(t *testing.T) {
-	out := &stalled{goOn: make(chan struct{})}
+// Guards against requests that block because nobody reads the standard output: lines are then dropped and counted, and
+// warnings are kept.
+func TestStalledOutputDoesNotBlockLogging(t *testing.T) {
+	out := &blockedWriter{release: make(chan struct{})}
 	output := chiveevent.NewOutput(out)
 	logger := output.Logger()
-	began := time.Now()
+	start := time.Now()
 	for range 5000 {
 		chiveevent.RequestEnded.Log(context.Background(), logger)
 	}
 	chiveevent.RequestUnknown.Log(context.Background(), logger)
-	if took := time.Since(began); took > 2*time.Second {
-		t.Errorf("5,000 lines took %v", took)
+	if elapsed := time.Since(start); elapsed > 2*time.Second {
+		t.Errorf("5,000 lines took %v", elapsed)
 	}
 	if output.Dropped() < 3000 {
-		t.Errorf("%d lines dropped, expected most of 5,000", output.Dropped())
+		t.Errorf("%d of 5,000 lines dropped, expected at least 3,000", output.Dropped())
 	}
-	close(out.goOn)
+	close(out.release)
 	time.Sleep(1200 * time.Millisecond)
 	output.Close(time.Second)
 	if text := out.text(); !strings.Contains(text, `"event":502`) || !strings.Contains(text, `"event":105`) {
-		t.Error("the warning or the count of dropped lines is missing")
+		t.Error("the warning or the event that reports dropped lines is missing")
 	}
 }
 
-func BenchmarkLine(b *testing.B) {
+func BenchmarkLogLine(b *testing.B) {
 	output := chiveevent.NewOutput(&bytes.Buffer{})
 	defer output.Close(time.Second)
 	logger := output.Logger()
