--- a/chivetrace/doc.go
+++ b/chivetrace/doc.go
@@ -1,3 +1,3 @@
-// Package chivetrace puts the log lines of several processes together to the trace of one request: what was decided, on
-// what, and what the deciding process believed at that moment.
+// Package chivetrace assembles the trace of one request from the log lines of several processes: the decisions that
+// were made, and the configuration, members and endpoints that the deciding processes knew at that time.
 package chivetrace
--- a/chivetrace/line.go
+++ b/chivetrace/line.go
@@ -10,29 +10,29 @@
 	"time"
 )
 
-// Line is one log line with the process that wrote it.
+// Line is one log line and the process that wrote it.
 type Line struct {
-	// Process is the name in front of the line, or that of the file.
-	Process string
-	At      time.Time
-	Event   int
-	Text    string
-	Level   string
-	Fields  map[string]any
-	order   []string
+	// Process is the last word before the line's JSON object, or the name of the log if there is none.
+	Process    string
+	At         time.Time
+	Event      int
+	Text       string
+	Level      string
+	Fields     map[string]any
+	fieldNames []string
 }
 
-// maxLine bounds one line of a log, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes is the limit on the length of a log line.
+const maxLineBytes = 1 << 20
 
-// Read reads log lines; what is no JSON object is passed over. Words in front of the object, as collectors of several logs
-// write them, name the process: the last of them counts.
-func Read(from io.Reader, name string) ([]Line, error) {
+// Read reads the lines of a log and skips those without a valid JSON object or time. Log collectors may put words
+// before the object; the last of them is taken as the name of the process.
+func Read(reader io.Reader, name string) ([]Line, error) {
 	var lines []Line
-	scanner := bufio.NewScanner(from)
-	scanner.Buffer(make([]byte, 0, maxLine/16), maxLine)
+	scanner := bufio.NewScanner(reader)
+	scanner.Buffer(make([]byte, 0, maxLineBytes/16), maxLineBytes)
 	for scanner.Scan() {
-		if line, ok := parse(scanner.Bytes(), name); ok {
+		if line, ok := parseLine(scanner.Bytes(), name); ok {
 			lines = append(lines, line)
 		}
 	}
@@ -42,7 +42,7 @@
 	return lines, nil
 }
 
-func parse(raw []byte, name string) (Line, bool) {
+func parseLine(raw []byte, name string) (Line, bool) {
 	start := bytes.IndexByte(raw, '{')
 	if start < 0 {
 		return Line{}, false
@@ -63,12 +63,13 @@
 	line.At, line.Event = at, int(number)
 	line.Text, _ = line.Fields["msg"].(string)
 	line.Level, _ = line.Fields["level"].(string)
-	line.order = fieldOrder(raw[start:])
+	line.fieldNames = objectFieldNames(raw[start:])
 	return line, true
 }
 
-// fieldOrder returns the names of an object's fields as they stand, since their writer put the most telling first.
-func fieldOrder(object []byte) []string {
+// objectFieldNames returns the field names of a JSON object in their order, since writers put the most important fields
+// first.
+func objectFieldNames(object []byte) []string {
 	decoder := json.NewDecoder(bytes.NewReader(object))
 	if _, err := decoder.Token(); err != nil {
 		return nil
@@ -92,8 +93,8 @@
 	return names
 }
 
-// field returns a text field.
-func (l *Line) field(name string) string {
+// textField returns a field's value if it is a string, and the empty string otherwise.
+func (l *Line) textField(name string) string {
 	text, _ := l.Fields[name].(string)
 	return text
 }
--- a/chivetrace/trace.go
+++ b/chivetrace/trace.go
@@ -8,80 +8,84 @@
 	"time"
 )
 
-// The numbers of events that say what a process believes: configuration, members and endpoints.
+// The range of event numbers that report what a process knows about the configuration, members and endpoints.
 const (
-	firstBelief = 200
-	lastBelief  = 499
-	// lookBack is how far before the request beliefs of other things than its endpoints still count.
-	lookBack = 30 * time.Second
+	firstStateEvent = 200
+	lastStateEvent  = 499
+	// stateLookback is the greatest age, at the start of the request, of a state line that names no endpoint, member or
+	// other subject.
+	stateLookback = 30 * time.Second
 )
 
-// Trace is one request's lines in time order, with the beliefs that its decisions rested on.
+// Trace holds the lines of one request in order of time, and the lines that report the state on which its decisions
+// were based.
 type Trace struct {
 	Request string
 	Lines   []Line
 	Beliefs []Line
 }
 
-// Collect picks the trace of a request from the lines of all processes; ok is false when no line names it.
+// Collect returns the trace of a request from the lines of all processes; ok is false if no line names the request.
 func Collect(lines []Line, request string) (trace Trace, ok bool) {
 	trace.Request = request
 	endpoints := make(map[string]bool)
 	processes := make(map[string]bool)
 	for i := range lines {
-		if lines[i].field("request") != request {
+		if lines[i].textField("request") != request {
 			continue
 		}
 		trace.Lines = append(trace.Lines, lines[i])
 		processes[lines[i].Process] = true
-		endpoints[lines[i].field("endpoint")] = true
+		endpoints[lines[i].textField("endpoint")] = true
 	}
 	if len(trace.Lines) == 0 {
 		return trace, false
 	}
 	delete(endpoints, "")
-	sortLines(trace.Lines)
-	trace.Beliefs = beliefs(lines, trace, processes, endpoints)
+	sortByTime(trace.Lines)
+	trace.Beliefs = stateLines(lines, trace, processes, endpoints)
 	return trace, true
 }
 
-// beliefs returns what the processes that touched the request last said before its end: the newest line of each thing.
-func beliefs(lines []Line, trace Trace, processes, endpoints map[string]bool) []Line {
+// stateLines returns the newest state line of each event and subject that the processes of the request wrote before its
+// end. Lines about endpoints that the request did not use are left out.
+func stateLines(lines []Line, trace Trace, processes, endpoints map[string]bool) []Line {
 	begin, end := trace.Lines[0].At, trace.Lines[len(trace.Lines)-1].At
 	newest := make(map[string]Line)
 	for _, l := range lines {
-		if l.Event < firstBelief || l.Event > lastBelief || !processes[l.Process] || l.At.After(end) {
+		if l.Event < firstStateEvent || l.Event > lastStateEvent || !processes[l.Process] || l.At.After(end) {
 			continue
 		}
-		about := l.field("endpoint")
-		if about != "" && !endpoints[about] {
+		subject := l.textField("endpoint")
+		if subject != "" && !endpoints[subject] {
 			continue
 		}
-		about += l.field("for") + l.field("member")
-		if about == "" && !isStanding(l.Event) && begin.Sub(l.At) > lookBack {
+		subject += l.textField("for") + l.textField("member")
+		if subject == "" && !holdsUntilReplaced(l.Event) && begin.Sub(l.At) > stateLookback {
 			continue
 		}
-		key := fmt.Sprintf("%s %d %s", l.Process, l.Event, about)
-		if known, ok := newest[key]; !ok || l.At.After(known.At) {
+		key := fmt.Sprintf("%s %d %s", l.Process, l.Event, subject)
+		if previous, ok := newest[key]; !ok || l.At.After(previous.At) {
 			newest[key] = l
 		}
 	}
-	chosen := make([]Line, 0, len(newest))
+	selected := make([]Line, 0, len(newest))
 	for _, l := range newest {
-		chosen = append(chosen, l)
+		selected = append(selected, l)
 	}
-	sortLines(chosen)
-	return chosen
+	sortByTime(selected)
+	return selected
 }
 
-// isStanding tells the events whose newest line holds until the next one, however old: a configuration in force.
-func isStanding(event int) bool { return event == 200 || event == 206 }
+// holdsUntilReplaced reports whether an event's newest line remains valid until the next one, whatever its age: the
+// configuration or the routing table in force.
+func holdsUntilReplaced(event int) bool { return event == 200 || event == 206 }
 
-func sortLines(lines []Line) {
+func sortByTime(lines []Line) {
 	sort.SliceStable(lines, func(i, j int) bool { return lines[i].At.Before(lines[j].At) })
 }
 
-// Write prints the trace: times in milliseconds from the request's first line, beliefs first.
+// Write prints the state lines, then the lines of the request, with times in milliseconds relative to its first line.
 func (t *Trace) Write(out io.Writer) {
 	begin := t.Lines[0].At
 	fmt.Fprintf(out, "request %s\n", t.Request)
@@ -99,13 +103,13 @@
 
 func (l *Line) write(out io.Writer, begin time.Time) {
 	ms := float64(l.At.Sub(begin)) / float64(time.Millisecond)
-	fmt.Fprintf(out, "  %+11.1f ms  %-14s %d %s:%s\n", ms, l.Process, l.Event, l.Text, l.details())
+	fmt.Fprintf(out, "  %+11.1f ms  %-14s %d %s:%s\n", ms, l.Process, l.Event, l.Text, l.otherFields())
 }
 
-// details lays out the fields that the line has beside those shown already.
-func (l *Line) details() string {
+// otherFields formats the fields that are not printed in another column.
+func (l *Line) otherFields() string {
 	var b strings.Builder
-	for _, name := range l.order {
+	for _, name := range l.fieldNames {
 		switch name {
 		case "time", "level", "msg", "event", "request":
 			continue
--- a/chivetrace/trace_test.go
+++ b/chivetrace/trace_test.go
@@ -8,7 +8,7 @@
 	"chivedrift/chivetrace"
 )
 
-const log = `   1.1 n1 {"time":"2026-01-01T00:00:00Z","level":"INFO","msg":"routing table in force","event":206,"version":3}
+const testLog = `   1.1 n1 {"time":"2026-01-01T00:00:00Z","level":"INFO","msg":"routing table in force","event":206,"version":3}
    1.1 n2 {"time":"2026-01-01T00:00:00Z","level":"INFO","msg":"routing table in force","event":206,"version":4}
 not a line of ours
    1.2 n1 {"time":"2026-01-01T00:00:01Z","level":"INFO","msg":"endpoint ready","event":310,"endpoint":"e1"}
@@ -19,8 +19,8 @@
    9.9 n1 {"time":"2026-01-01T00:02:00Z","level":"INFO","msg":"endpoint gone","event":311,"endpoint":"e1"}
 `
 
-func TestStory(t *testing.T) {
-	lines, err := chivetrace.Read(strings.NewReader(log), "file")
+func TestTraceOfOneRequest(t *testing.T) {
+	lines, err := chivetrace.Read(strings.NewReader(testLog), "file")
 	if err != nil || len(lines) != 8 {
 		t.Fatalf("%d lines, %v", len(lines), err)
 	}
@@ -42,6 +42,6 @@
 		t.Errorf("got\n%s\nwant\n%s", out.String(), want)
 	}
 	if _, ok := chivetrace.Collect(lines, "c"); ok {
-		t.Error("a trace of a request that no line names")
+		t.Error("got a trace for a request that no line names")
 	}
 }
