--- a/chivereport/histogram.go
+++ b/chivereport/histogram.go
@@ -1,18 +1,18 @@
 package chivereport
 
-// histogram counts milliseconds in steps that double.
+// histogram counts durations in buckets whose lower bounds are the powers of two in milliseconds.
 type histogram struct {
-	counts [histogramSteps]int64
+	counts [histogramBuckets]int64
 }
 
-// histogramSteps reach from one millisecond to two minutes.
-const histogramSteps = 17
+// histogramBuckets is the number of buckets; they cover one millisecond to two minutes.
+const histogramBuckets = 17
 
 func (h *histogram) add(ms int64) {
-	step := 0
-	for ms > 1 && step < histogramSteps-1 {
+	bucket := 0
+	for ms > 1 && bucket < histogramBuckets-1 {
 		ms /= 2
-		step++
+		bucket++
 	}
-	h.counts[step]++
+	h.counts[bucket]++
 }
--- a/chivereport/page.go
+++ b/chivereport/page.go
@@ -19,49 +19,49 @@
 )
 
 const (
-	// legendRoom is how much higher than its highest value a plot is, so that the legend hides nothing.
-	legendRoom = 1.9
-	barWidth   = 10 * vg.Length(1)
-	// routesShown is how many routes a plot shows, those with the most requests.
-	routesShown = 6
+	// legendHeadroom is the height of a plot as a multiple of its highest value, so that the legend covers no values.
+	legendHeadroom = 1.9
+	barWidth       = 10 * vg.Length(1)
+	// maxRoutesPlotted is how many routes a plot shows at most.
+	maxRoutesPlotted = 6
 )
 
 var pageTemplate = template.Must(template.New("page").Parse(`<!doctype html>
 <meta charset="utf-8"><title>chivedrift report</title>
 <style>body{font-family:sans-serif;max-width:60em;margin:2em auto;padding:0 1em}pre{background:#f4f4f4;padding:1em;overflow:auto}svg{max-width:100%;height:auto}</style>
-<h1>What became of the requests</h1>
+<h1>Request outcomes</h1>
 {{range .Plots}}<h2>{{.Title}}</h2>{{.Drawing}}{{end}}
 <h2>By route and reason</h2><pre>{{.Table}}</pre>
 `))
 
-// drawing is one plot of the page.
-type drawing struct {
+// pagePlot is one plot of the page.
+type pagePlot struct {
 	Title   string
 	Drawing template.HTML
 }
 
-// WritePage writes one page with plots that needs nothing beside itself.
+// WritePage writes a self-contained HTML page with plots and the table.
 func (r *Report) WritePage(out io.Writer) error {
 	var table bytes.Buffer
 	r.WriteTable(&table)
 	page := struct {
-		Plots []drawing
+		Plots []pagePlot
 		Table string
 	}{Table: table.String()}
-	for _, d := range []struct {
+	for _, p := range []struct {
 		title string
-		make  func(p *plot.Plot) error
+		fill  func(p *plot.Plot) error
 	}{
-		{"Served on time, by moment", r.plotOnTime},
-		{"Lost or late, by moment", r.plotLosses},
-		{"Time to the first event", r.plotFirsts},
-		{"Prompt tokens read again, by endpoint", r.plotAgain},
+		{"Requests served on time, by time window", r.plotOnTime},
+		{"Requests lost or late, by time window", r.plotLosses},
+		{"Time to the first event", r.plotFirstEventTimes},
+		{"Prompt tokens read again, by endpoint", r.plotRepeatedTokens},
 	} {
-		svg, err := chiveplot.Draw(legendRoom, d.make)
+		svg, err := chiveplot.Draw(legendHeadroom, p.fill)
 		if err != nil {
-			return fmt.Errorf("plot %q: %w", d.title, err)
+			return fmt.Errorf("plot %q: %w", p.title, err)
 		}
-		page.Plots = append(page.Plots, drawing{d.title, svg})
+		page.Plots = append(page.Plots, pagePlot{p.title, svg})
 	}
 	if err := pageTemplate.Execute(out, page); err != nil {
 		return fmt.Errorf("page: %w", err)
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// shownRoutes are the routes with the most requests that the configuration allows.
-func (r *Report) shownRoutes() []string {
+// plottedRoutes returns the routes with the most requests, not counting those that the configuration does not allow.
+func (r *Report) plottedRoutes() []string {
 	requests := make(map[string]int64)
 	for row, n := range r.rows {
 		if row.Reason != ReasonNotAllowed {
@@ -80,24 +80,24 @@
 	routes := slices.SortedFunc(maps.Keys(requests), func(a, b string) int {
 		return cmp.Or(cmp.Compare(requests[b], requests[a]), cmp.Compare(a, b))
 	})
-	return routes[:min(len(routes), routesShown)]
+	return routes[:min(len(routes), maxRoutesPlotted)]
 }
 
-// byMoment returns, for a route, the share of its requests at each moment that a test picks.
-func (r *Report) byMoment(route string, picks func(Reason) bool) plotter.XYs {
-	all, picked := make(map[int]int64), make(map[int]int64)
+// shareByWindow returns the percentage of a route's requests in each time window whose reason matches.
+func (r *Report) shareByWindow(route string, matches func(Reason) bool) plotter.XYs {
+	total, matched := make(map[int]int64), make(map[int]int64)
 	for row, n := range r.rows {
 		if row.Route != route || row.Reason == ReasonNotAllowed {
 			continue
 		}
-		all[row.Moment] += n
-		if picks(row.Reason) {
-			picked[row.Moment] += n
+		total[row.Moment] += n
+		if matches(row.Reason) {
+			matched[row.Moment] += n
 		}
 	}
-	points := make(plotter.XYs, 0, len(all))
-	for _, m := range slices.Sorted(maps.Keys(all)) {
-		points = append(points, plotter.XY{X: float64(m), Y: percent * float64(picked[m]) / float64(all[m])})
+	points := make(plotter.XYs, 0, len(total))
+	for _, second := range slices.Sorted(maps.Keys(total)) {
+		points = append(points, plotter.XY{X: float64(second), Y: percent * float64(matched[second]) / float64(total[second])})
 	}
 	return points
 }
@@ -105,82 +105,82 @@
 func (r *Report) plotOnTime(p *plot.Plot) error {
 	p.X.Label.Text, p.Y.Label.Text = "seconds", "% of the requests"
 	p.Y.Min, p.Y.Max = 0, percent
-	for i, route := range r.shownRoutes() {
-		line, err := plotter.NewLine(r.byMoment(route, func(reason Reason) bool { return reason == ReasonNone }))
+	for i, route := range r.plottedRoutes() {
+		line, err := plotter.NewLine(r.shareByWindow(route, func(reason Reason) bool { return reason == ReasonNone }))
 		if err != nil {
 			return err //nolint:wrapcheck // the caller names the plot
 		}
 		line.Color = plotutil.Color(i)
 		p.Add(line)
-		p.Legend.Add(orNone(route), line)
+		p.Legend.Add(routeLabel(route), line)
 	}
 	return nil
 }
 
 func (r *Report) plotLosses(p *plot.Plot) error {
 	p.X.Label.Text, p.Y.Label.Text = "seconds", "requests"
-	color := 0
-	for reason := ReasonRefusedInTime; reason < reasons; reason++ {
-		sums := make(map[int]int64)
+	colorIndex := 0
+	for reason := ReasonRefusedInTime; reason < reasonCount; reason++ {
+		requestsByWindow := make(map[int]int64)
 		for row, n := range r.rows {
 			if row.Reason == reason {
-				sums[row.Moment] += n
+				requestsByWindow[row.Moment] += n
 			}
 		}
-		if len(sums) == 0 || reason == ReasonNotAllowed {
+		if len(requestsByWindow) == 0 || reason == ReasonNotAllowed {
 			continue
 		}
-		points := make(plotter.XYs, 0, len(sums))
-		for _, m := range slices.Sorted(maps.Keys(sums)) {
-			points = append(points, plotter.XY{X: float64(m), Y: float64(sums[m])})
+		points := make(plotter.XYs, 0, len(requestsByWindow))
+		for _, second := range slices.Sorted(maps.Keys(requestsByWindow)) {
+			points = append(points, plotter.XY{X: float64(second), Y: float64(requestsByWindow[second])})
 		}
 		line, err := plotter.NewLine(points)
 		if err != nil {
 			return err //nolint:wrapcheck // the caller names the plot
 		}
-		line.Color, line.Dashes = plotutil.Color(color), plotutil.Dashes(color/len(plotutil.DefaultColors))
-		color++
+		line.Color, line.Dashes = plotutil.Color(colorIndex), plotutil.Dashes(colorIndex/len(plotutil.DefaultColors))
+		colorIndex++
 		p.Add(line)
 		p.Legend.Add(reason.String(), line)
 	}
 	return nil
 }
 
-func (r *Report) plotFirsts(p *plot.Plot) error {
+func (r *Report) plotFirstEventTimes(p *plot.Plot) error {
 	p.X.Label.Text, p.Y.Label.Text = "milliseconds, up to", "requests"
 	var labels []string
-	for step := range histogramSteps {
-		labels = append(labels, strconv.Itoa(1<<step))
+	for bucket := range histogramBuckets {
+		labels = append(labels, strconv.Itoa(1<<bucket))
 	}
 	p.NominalX(labels...)
-	for i, route := range r.shownRoutes() {
-		values := make(plotter.Values, histogramSteps)
-		if h := r.firsts[route]; h != nil {
-			for step, n := range h.counts {
-				values[step] = float64(n)
+	for i, route := range r.plottedRoutes() {
+		values := make(plotter.Values, histogramBuckets)
+		if h := r.firstEventTimes[route]; h != nil {
+			for bucket, n := range h.counts {
+				values[bucket] = float64(n)
 			}
 		}
 		bars, err := plotter.NewBarChart(values, barWidth/2)
 		if err != nil {
 			return err //nolint:wrapcheck // the caller names the plot
 		}
-		bars.Color, bars.Offset = plotutil.Color(i), barWidth/2*vg.Length(i-routesShown/2)
+		bars.Color, bars.Offset = plotutil.Color(i), barWidth/2*vg.Length(i-maxRoutesPlotted/2)
 		p.Add(bars)
-		p.Legend.Add(orNone(route), bars)
+		p.Legend.Add(routeLabel(route), bars)
 	}
 	return nil
 }
 
-func (r *Report) plotAgain(p *plot.Plot) error {
+func (r *Report) plotRepeatedTokens(p *plot.Plot) error {
 	p.Y.Label.Text = "tokens"
-	names := slices.Sorted(maps.Keys(r.again))
-	names = slices.DeleteFunc(names, func(name string) bool { return r.again[name] == 0 })
+	names := slices.Sorted(maps.Keys(r.repeatedTokens))
+	names = slices.DeleteFunc(names, func(name string) bool { return r.repeatedTokens[name] == 0 })
 	if len(names) == 0 {
 		return nil
 	}
 	values := make(plotter.Values, len(names))
 	for i, name := range names {
-		values[i] = float64(r.again[name])
+		values[i] = float64(r.repeatedTokens[name])
 	}
 	bars, err := plotter.NewBarChart(values, barWidth)
 	if err != nil {
--- a/chivereport/reason.go
+++ b/chivereport/reason.go
@@ -1,54 +1,54 @@
 package chivereport
 
-// Reason tells why a request was not served on time.
+// Reason is the reason why a request was not served on time.
 type Reason uint8
 
-// The reasons are exhaustive; what the logs cannot tell is ReasonUnknown.
+// The reasons cover every request; a request whose reason cannot be derived from the logs has ReasonUnknown.
 const (
-	// ReasonNone is a request that was served on time.
+	// ReasonNone applies to requests that were served on time.
 	ReasonNone Reason = iota
-	// ReasonRefusedInTime was refused although its first event was expected within its target.
+	// ReasonRefusedInTime applies to requests that were refused although the first event was expected within the target.
 	ReasonRefusedInTime
-	// ReasonRefusedLate was refused with its first event expected too late.
+	// ReasonRefusedLate applies to requests that were refused because the first event was expected too late.
 	ReasonRefusedLate
-	// ReasonRefusedFull found no endpoint with a free place.
+	// ReasonRefusedFull applies to requests that were refused because no endpoint had free capacity.
 	ReasonRefusedFull
-	// ReasonEndpointFull was turned away by the endpoints that it was sent to.
+	// ReasonEndpointFull applies to requests that were rejected by the endpoints to which they were sent.
 	ReasonEndpointFull
-	// ReasonOwnRead was late mostly because its own prompt had to be read.
+	// ReasonOwnRead applies to requests that were late mostly due to the prefill of their own prompt.
 	ReasonOwnRead
-	// ReasonReadAgain was late mostly by parts that another endpoint held.
+	// ReasonReadAgain applies to requests that were late mostly due to the prefill of parts cached at another endpoint.
 	ReasonReadAgain
-	// ReasonOthersRead was late mostly because others' prompts waited before it.
+	// ReasonOthersRead applies to requests that were late mostly due to other prompts queued before them.
 	ReasonOthersRead
-	// ReasonSlow had its first event much later than predicted.
+	// ReasonSlow applies to requests whose first event came much later than predicted.
 	ReasonSlow
-	// ReasonPaused had a pause between events longer than promised.
+	// ReasonPaused applies to requests with a longer pause between two events than the limit allows.
 	ReasonPaused
-	// ReasonEndpointLost lost its endpoint in the answer.
+	// ReasonEndpointLost applies to requests whose endpoint was lost while it served them.
 	ReasonEndpointLost
-	// ReasonHeld was kept from endpoints since endpoints had ended under it.
+	// ReasonHeld applies to requests that were held back because endpoints had ended while serving them.
 	ReasonHeld
-	// ReasonEndpointError got an error of the endpoint's own.
+	// ReasonEndpointError applies to requests that the endpoint answered with an error.
 	ReasonEndpointError
-	// ReasonNodeLost was under way when its node stopped or died.
+	// ReasonNodeLost applies to requests that were in progress when their node stopped or crashed.
 	ReasonNodeLost
-	// ReasonCallerLeftEarly was given up by its caller before the first event.
+	// ReasonCallerLeftEarly applies to requests that the caller cancelled before the first event.
 	ReasonCallerLeftEarly
-	// ReasonCallerLeft was given up by its caller in the answer.
+	// ReasonCallerLeft applies to requests that the caller cancelled during the response.
 	ReasonCallerLeft
-	// ReasonDeadline ran out of its caller's time.
+	// ReasonDeadline applies to requests whose deadline passed.
 	ReasonDeadline
-	// ReasonNotAllowed was turned away by the configuration: no route, no key, too large.
+	// ReasonNotAllowed applies to requests rejected due to the configuration: no route, no key or too large.
 	ReasonNotAllowed
-	// ReasonNotEnded has no end in the logs that were read.
+	// ReasonNotEnded applies to requests whose end is not in the logs that were read.
 	ReasonNotEnded
-	// ReasonUnknown cannot be told from the logs.
+	// ReasonUnknown applies to requests whose reason cannot be derived from the logs.
 	ReasonUnknown
-	reasons
+	reasonCount
 )
 
-var reasonNames = [reasons]string{
+var reasonNames = [reasonCount]string{
 	"served on time", "refused, though expected in time", "refused, expected too late", "refused, no place free", "endpoints full",
 	"late: own prompt", "late: read again", "late: others' prompts", "late: slower than predicted", "late: paused", "endpoint lost",
 	"held back, endpoints ended under it",
@@ -56,13 +56,13 @@
 	"no end in the logs", "not told by the logs",
 }
 
-// String returns the reason in words.
+// String returns the text of the reason.
 func (r Reason) String() string {
-	if r >= reasons {
+	if r >= reasonCount {
 		return "not a reason"
 	}
 	return reasonNames[r]
 }
 
-// MarshalText returns the words, for JSON.
+// MarshalText returns the text of the reason, for JSON.
 func (r Reason) MarshalText() ([]byte, error) { return []byte(r.String()), nil }
--- a/chivereport/report.go
+++ b/chivereport/report.go
@@ -7,118 +7,120 @@
 	"time"
 )
 
-// Report counts what became of the requests.
+// Report counts requests by route, rank, time window and reason.
 type Report struct {
-	window   time.Duration
-	lines    int64
-	badLines int64
-	shown    []BadLine
-	begin    time.Time
-	open     map[key]*request
-	rows     map[Row]int64
-	firsts   map[string]*histogram
-	again    map[string]int64
+	window          time.Duration
+	lines           int64
+	badLines        int64
+	firstBadLines   []BadLine
+	firstTime       time.Time
+	unfinished      map[requestKey]*request
+	rows            map[Row]int64
+	firstEventTimes map[string]*histogram
+	repeatedTokens  map[string]int64
 }
 
-// key names a request of a process: a caller's retry may reach another node under another identity.
-type key struct {
+// requestKey identifies a request within a process. A caller's retry may reach another node; it counts as another
+// request.
+type requestKey struct {
 	process string
 	request string
 }
 
-// Row is what the counts are told apart by.
+// Row is the key by which requests are counted.
 type Row struct {
 	Route string `json:"route"`
 	Rank  int    `json:"rank"`
-	// Moment is the beginning of the window in which the request arrived, in seconds from the first request.
+	// Moment is the start of the time window in which the request arrived, in seconds since the arrival of the request
+	// that was counted first.
 	Moment int    `json:"moment_s"`
 	Reason Reason `json:"reason"`
 }
 
-// Count is a row with its number of requests.
+// Count is a row and its number of requests.
 type Count struct {
 	Row
 	Requests int64 `json:"requests"`
 }
 
-// request is one that is under way in the logs.
+// request is a request whose end has not been read yet.
 type request struct {
-	accepted line
-	sent     line
-	sends    int
+	accepted    line
+	lastAttempt line
+	attempts    int
 }
 
-// New returns an empty report whose moments are that long.
+// New returns an empty report with time windows of the given length.
 func New(window time.Duration) *Report {
 	return &Report{
-		window: window, open: make(map[key]*request), rows: make(map[Row]int64), firsts: make(map[string]*histogram), again: make(map[string]int64),
+		window: window, unfinished: make(map[requestKey]*request), rows: make(map[Row]int64), firstEventTimes: make(map[string]*histogram), repeatedTokens: make(map[string]int64),
 	}
 }
 
-// take takes one line.
-func (r *Report) take(l *line) {
-	k := key{l.process, l.Request}
+// add updates the report with one line.
+func (r *Report) add(l *line) {
+	k := requestKey{l.process, l.Request}
 	switch l.Event {
 	case eventNodeStarting:
-		r.lose(l.process)
-	case eventRefused:
+		r.endRequestsOf(l.process)
+	case eventRequestRefused:
 		r.count(l, ReasonNotAllowed)
-	case eventAccepted:
-		r.open[k] = &request{accepted: *l}
-	case eventSent:
-		if q := r.open[k]; q != nil {
-			q.sent = *l
-			q.sends++
-			r.again[l.Endpoint] += l.Again
+	case eventRequestAccepted:
+		r.unfinished[k] = &request{accepted: *l}
+	case eventAttemptSent:
+		if q := r.unfinished[k]; q != nil {
+			q.lastAttempt = *l
+			q.attempts++
+			r.repeatedTokens[l.Endpoint] += l.RepeatedTokens
 		}
-	case eventEnded, eventNotCompleted:
-		q := r.open[k]
+	case eventRequestEnded, eventRequestNotCompleted:
+		q := r.unfinished[k]
 		if q == nil {
 			r.count(l, ReasonUnknown)
 			return
 		}
-		delete(r.open, k)
-		r.count(&q.accepted, q.reason(l))
-		if l.First > 0 {
-			r.first(l.Route).add(l.First)
+		delete(r.unfinished, k)
+		r.count(&q.accepted, q.outcomeReason(l))
+		if l.FirstEventMs > 0 {
+			r.firstEventHistogram(l.Route).add(l.FirstEventMs)
 		}
 	}
 }
 
-// lose ends the requests of a process that begins anew.
-func (r *Report) lose(process string) {
-	for k, q := range r.open {
+// endRequestsOf counts the unfinished requests of a process as lost, since the process has started again.
+func (r *Report) endRequestsOf(process string) {
+	for k, q := range r.unfinished {
 		if k.process == process {
 			r.count(&q.accepted, ReasonNodeLost)
-			delete(r.open, k)
+			delete(r.unfinished, k)
 		}
 	}
 }
 
 func (r *Report) count(l *line, reason Reason) {
-	if r.begin.IsZero() {
-		r.begin = l.Time
+	if r.firstTime.IsZero() {
+		r.firstTime = l.Time
 	}
-	moment := int(l.Time.Sub(r.begin) / r.window * r.window / time.Second)
-	r.rows[Row{Route: l.Route, Rank: l.Rank, Moment: moment, Reason: reason}]++
+	windowStart := int(l.Time.Sub(r.firstTime) / r.window * r.window / time.Second)
+	r.rows[Row{Route: l.Route, Rank: l.Rank, Moment: windowStart, Reason: reason}]++
 }
 
-func (r *Report) first(route string) *histogram {
-	if r.firsts[route] == nil {
-		r.firsts[route] = &histogram{}
+func (r *Report) firstEventHistogram(route string) *histogram {
+	if r.firstEventTimes[route] == nil {
+		r.firstEventTimes[route] = &histogram{}
 	}
-	return r.firsts[route]
+	return r.firstEventTimes[route]
 }
 
-// Finish ends what no log has an end for.
+// Finish counts the requests whose end is in none of the logs.
 func (r *Report) Finish() {
-	for k, q := range r.open {
+	for k, q := range r.unfinished {
 		r.count(&q.accepted, ReasonNotEnded)
-		delete(r.open, k)
+		delete(r.unfinished, k)
 	}
 }
 
-// Counts returns the rows in order.
+// Counts returns all rows with their counts, sorted by route, rank, time window and reason.
 func (r *Report) Counts() []Count {
 	rows := slices.SortedFunc(maps.Keys(r.rows), func(a, b Row) int {
 		return cmp.Or(cmp.Compare(a.Route, b.Route), cmp.Compare(a.Rank, b.Rank), cmp.Compare(a.Moment, b.Moment), cmp.Compare(a.Reason, b.Reason))
@@ -130,15 +132,15 @@
 	return counts
 }
 
-// reason tells why a request was not served on time, from the line of its end and those before.
-func (q *request) reason(end *line) Reason {
+// outcomeReason returns the reason of a request, from the line that reports its end and those before it.
+func (q *request) outcomeReason(end *line) Reason {
 	switch end.Outcome {
 	case "completed":
-		return q.lateness(end)
+		return q.latenessReason(end)
 	case "failed":
 		return ReasonEndpointError
 	case "not-run":
-		return q.refusal(end)
+		return q.refusalReason(end)
 	}
 	switch end.Code {
 	case "caller_gone":
@@ -156,7 +158,7 @@
 	return ReasonUnknown
 }
 
-func (q *request) refusal(end *line) Reason {
+func (q *request) refusalReason(end *line) Reason {
 	switch {
 	case end.Code == "deadline_passed":
 		return ReasonDeadline
@@ -170,39 +172,39 @@
 		return ReasonCallerLeftEarly
 	case end.Code != "no_place":
 		return ReasonUnknown
-	case end.Expected == 0:
+	case end.ExpectedMs == 0:
 		return ReasonRefusedFull
-	case end.Expected <= q.accepted.Target:
+	case end.ExpectedMs <= q.accepted.TargetMs:
 		return ReasonRefusedInTime
 	}
 	return ReasonRefusedLate
 }
 
-// slowerThan is how many times the predicted time a first event takes that is put down to a slow endpoint.
-const slowerThan = 2
+// slowFactor is the multiple of the predicted time beyond which a late first event is attributed to a slow endpoint.
+const slowFactor = 2
 
-// lateness reports whether a request that was served was on time, and why not.
-func (q *request) lateness(end *line) Reason {
-	first := end.First
-	if first == 0 {
-		first = end.Took
+// latenessReason returns ReasonNone for a completed request that was on time, and the reason why it was late otherwise.
+func (q *request) latenessReason(end *line) Reason {
+	firstEventMs := end.FirstEventMs
+	if firstEventMs == 0 {
+		firstEventMs = end.DurationMs
 	}
-	sent := &q.sent
+	attempt := &q.lastAttempt
 	switch {
-	case q.accepted.Target == 0 || first <= q.accepted.Target:
-		if q.accepted.Pause > 0 && end.Pause > q.accepted.Pause {
+	case q.accepted.TargetMs == 0 || firstEventMs <= q.accepted.TargetMs:
+		if q.accepted.PauseMs > 0 && end.PauseMs > q.accepted.PauseMs {
 			return ReasonPaused
 		}
 		return ReasonNone
-	case q.sends == 0:
+	case q.attempts == 0:
 		return ReasonUnknown
-	case sent.Expected > 0 && first > slowerThan*sent.Expected:
+	case attempt.ExpectedMs > 0 && firstEventMs > slowFactor*attempt.ExpectedMs:
 		return ReasonSlow
-	case sent.Ahead > sent.Reads:
+	case attempt.QueuedTokens > attempt.PrefillTokens:
 		return ReasonOthersRead
-	case sent.Again > sent.Reads/2:
+	case attempt.RepeatedTokens > attempt.PrefillTokens/2:
 		return ReasonReadAgain
-	case sent.Reads > 0:
+	case attempt.PrefillTokens > 0:
 		return ReasonOwnRead
 	}
 	return ReasonSlow
--- a/chivereport/report_test.go
+++ b/chivereport/report_test.go
@@ -10,8 +10,8 @@
 	"chivedrift/chivereport"
 )
 
-// told returns the reason that the report gives for one request with an end.
-func told(t *testing.T, sent, end string) chivereport.Reason {
+// reasonFor returns the reason that the report derives from the fields of one request's attempt and end.
+func reasonFor(t *testing.T, sent, end string) chivereport.Reason {
 	t.Helper()
 	r := chivereport.New(2 * time.Second)
 	lines := `n {"time":"2026-01-01T00:00:00Z","event":505,"request":"a","route":"x","target_ms":600,"pause_ms":200}` + "\n"
@@ -25,7 +25,7 @@
 	r.Finish()
 	counts := r.Counts()
 	if len(counts) != 1 || counts[0].Requests != 1 {
-		t.Fatalf("counted %+v, want one request once", counts)
+		t.Fatalf("counted %+v, want exactly one request", counts)
 	}
 	return counts[0].Reason
 }
@@ -57,28 +57,28 @@
 		{sent, `"event":508,"outcome":"unknown","code":"new_code"`, chivereport.ReasonUnknown},
 		{sent, `"event":503,"ended":"complete"`, chivereport.ReasonNotEnded},
 	} {
-		if got := told(t, c.sent, c.end); got != c.want {
+		if got := reasonFor(t, c.sent, c.end); got != c.want {
 			t.Errorf("%s, %s: %q, want %q", c.sent, c.end, got, c.want)
 		}
 	}
 }
 
-// Guards against losses that omit the open requests of a node that died.
-func TestRequestsOfADeadNodeAreCounted(t *testing.T) {
+// Guards against reports that omit the unfinished requests of a node that crashed and started again.
+func TestUnfinishedRequestsOfARestartedNodeAreCounted(t *testing.T) {
 	r := chivereport.New(time.Second)
-	log := `n1 {"time":"2026-01-01T00:00:00Z","event":505,"request":"a","route":"x"}
+	testLog := `n1 {"time":"2026-01-01T00:00:00Z","event":505,"request":"a","route":"x"}
 n2 {"time":"2026-01-01T00:00:00Z","event":505,"request":"b","route":"x"}
 n1 {"time":"2026-01-01T00:00:01Z","event":100}
 `
-	if err := r.Read(strings.NewReader(log), "test"); err != nil {
+	if err := r.Read(strings.NewReader(testLog), "test"); err != nil {
 		t.Fatal(err)
 	}
 	if counts := r.Counts(); len(counts) != 1 || counts[0].Reason != chivereport.ReasonNodeLost || counts[0].Requests != 1 {
-		t.Errorf("counted %+v, want the one of the node that died", counts)
+		t.Errorf("counted %+v, want only the request of the restarted node", counts)
 	}
 }
 
-func TestPageNeedsNothingBesideItself(t *testing.T) {
+func TestPageIsSelfContainedAndEscaped(t *testing.T) {
 	r := chivereport.New(time.Second)
 	if err := r.Read(strings.NewReader(`n {"time":"2026-01-01T00:00:00Z","event":508,"request":"a","route":"<x>","outcome":"unknown"}`), "test"); err != nil {
 		t.Fatal(err)
@@ -92,7 +92,7 @@
 	}
 }
 
-// FuzzRead holds that no bytes stop the report, and that each line is counted as read, bad or not a node's.
+// FuzzRead checks that the report can be read and written for any input.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(`n {"time":"2026-01-01T00:00:00Z","event":505,"request":"a"}` + "\n{\n\x00{\"event\":1e999}"))
 	f.Fuzz(func(t *testing.T, data []byte) {
