--- a/chiveplot/doc.go
+++ b/chiveplot/doc.go
@@ -1,2 +1,2 @@
-// Package chiveplot draws plots as pieces of HTML pages that need nothing beside themselves.
+// Package chiveplot draws plots as inline SVG for self-contained HTML pages.
 package chiveplot
