--- a/chivetime/doc.go
+++ b/chivetime/doc.go
@@ -1,2 +1,2 @@
-// Package chivetime converts times between the forms in which documents, forecasts and the runtime hold them.
+// Package chivetime converts times given as numbers to durations.
 package chivetime
--- a/chivetime/milliseconds.go
+++ b/chivetime/milliseconds.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// Milliseconds returns a number of milliseconds, which may have a fraction, as a duration.
-func Milliseconds(count float64) time.Duration {
-	return time.Duration(count * float64(time.Millisecond))
+// Milliseconds converts a number of milliseconds, which may be fractional, to a duration.
+func Milliseconds(ms float64) time.Duration {
+	return time.Duration(ms * float64(time.Millisecond))
 }
